--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -59,7 +59,7 @@
         recorder = Recorder(Plan(Path(folder), "n1", "-"), counters)
         decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
         asked: list[str] = []
-        decisions.on_probe = asked.append
+        decisions.on_probe = lambda host: not asked.append(host)  # type: ignore[func-returns-value]
         decisions.list(api.ListMode.COMPLETE, [
             UpstreamHost(f"h{n}", ("127.0.0.1", 1 + n)) for n in range(hosts)])
         took: dict[bool, list[float]] = {True: [], False: []}
@@ -80,13 +80,13 @@
 def _one(decisions: Decisions, tracer: Tracer, asked: list[str], name: str) -> None:
     """What ``life.live`` tells of a request that is served."""
     request = api.Request(name, "feed", 1_485_000, "vestland-museum", 77, 5)
-    visit = decisions.enter(name, now() + timedelta(seconds=1))
-    assert visit is not None
+    pending = decisions.enter(name, now() + timedelta(seconds=1))
+    assert pending is not None
     tracer.request(now(), "lines", request, None)
     decisions.tell(request)
     while asked:
         decisions.tell(api.ProbeResult(asked.pop(), api.Status.SERVED, 900, api.Report(load=1e-4, latency_ms=2.0)))
-    choice = visit.next()
+    choice = pending.next()
     assert isinstance(choice, api.Attempt)
     at = now()
     tracer.attempt(at, name, 0, choice.backend, "up", 900)
@@ -95,7 +95,7 @@
     decisions.tell(api.Opened(name, 0, choice.backend, 900))
     tracer.ended(at, name, choice.backend, "served", timedelta(seconds=2), False)
     decisions.tell(api.Outcome(name, 0, choice.backend, api.Status.SERVED, 900, finished=True))
-    decisions.release(visit)
+    decisions.release(pending)
 
 
 @click.command()
--- a/bramblestile/dialect.py
+++ b/bramblestile/dialect.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import socket
 from contextlib import AbstractContextManager
 from dataclasses import dataclass
 from datetime import timedelta
 from typing import Protocol
 
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Standing
+from bramblestile.memory.connections import Connection
 from bramblestile.sockets import Side
 from vanegw.interface import Status
 
@@ -32,9 +32,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Up:
-    """The upstream host has taken the connection; ``standing`` carries it to its end."""
+    """The upstream host has taken the connection; ``connection`` carries it to its end."""
 
-    standing: Standing
+    connection: Connection
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,13 +69,16 @@
 class Dial(Protocol):
     """A connection to the upstream host that was chosen: its socket, or a channel over it."""
 
-    def __call__(self, connect_within: timedelta, until: timedelta) -> Side:
+    def __call__(self, connect_within: timedelta, until: timedelta, beside: socket.socket | None = None) -> Side:
         """``connect_within`` bounds the connection, ``until`` all that comes before the first byte. OSError; one that
-        is a NotDialledError tells more."""
+        is a NotDialledError tells more, an InterruptedError that ``beside`` has ended meanwhile."""
 
 
-# How a front dials its upstream hosts: the host, and the two bounds of a Dial.
-Upstream = Callable[[UpstreamHost, timedelta, timedelta], Side]
+class Upstream(Protocol):
+    """How a front dials its upstream hosts."""
+
+    def __call__(self, host: UpstreamHost, connect_within: timedelta, until: timedelta,
+                 beside: socket.socket | None = None) -> Side: ...
 
 
 class CanSend(Protocol):
--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -20,6 +20,7 @@
 from random import Random
 from typing import Any
 
+from bramblestile import threads
 from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
 from bramblestile.fleet.members import Change, Members, Out, Pace
 from bramblestile.fleet.messages import LARGEST, Fact, Kind, Message, MessageError, State, decoded, encoded
@@ -168,8 +169,7 @@
                 self._turn()
             except Exception:
                 # A fault of ours in one message must not end the membership of this process.
-                self._counters.add("faults")
-                self._log.exception("fault")
+                threads.note_fault(self._counters, self._log)
                 time.sleep(AGAIN.total_seconds())
         with self._lock:
             out = self._members.leave(now())
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -9,13 +9,15 @@
 from functools import partial
 from typing import Protocol
 
+from bramblestile import sockets, threads
 from bramblestile.clock import NOTHING, now
-from bramblestile.dialect import Answer, Asked, Downstream, NotUp, Upstream
+from bramblestile.dialect import Answer, Asked, Downstream, NotUp, Up, Upstream
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster
-from bramblestile.memory.connections import Connections, Halt, Observer, Standing
+from bramblestile.memory.connections import Connection, Connections, Halt, Observer
 from bramblestile.memory.counters import Counters
-from bramblestile.memory.decisions import Decisions, Visit, micros, span
+from bramblestile.memory.decisions import Decisions, Pending, micros, span
+from bramblestile.sockets import Side
 from bramblestile.tracing import Tracing
 from vanegw import interface as api
 from vanegw.interface import Status
@@ -27,11 +29,11 @@
     @property
     def halt(self) -> Halt: ...
 
-    def take(self, standing: Standing, request: api.Request) -> bool:
+    def take(self, connection: Connection, request: api.Request) -> bool:
         """Whether it carries the frozen connection on from now on."""
 
 
-class House:
+class Context:
     """What every request's life needs, made once at the start."""
 
     def __init__(self, decisions: Decisions, cluster: Cluster, connections: Connections, counters: Counters,
@@ -54,51 +56,53 @@
 class _Told:
     """One request's news: each is counted, traced and logged here, so that the three can never differ."""
 
-    def __init__(self, house: House, request: api.Request, asked: Asked, arrived: timedelta) -> None:
-        self.house = house
+    def __init__(self, context: Context, request: api.Request, asked: Asked, arrived: timedelta) -> None:
+        self.context = context
         self.request = request
-        self.log = house.log.bind(id=asked.id)
+        self.log = context.log.bind(id=asked.id)
         self.arrived = arrived
-        house.tracing.to.request(self.arrived, house.name, request, asked.bound_to)
+        context.tracing.to.request(self.arrived, context.name, request, asked.bound_to)
         self.log.debug("request", cls=asked.cls, tenant=asked.tenant)
 
     def answer(self, at: timedelta, outcome: str, attempts: int, host: str | None = None,
                wait_us: int | None = None) -> None:
         """The one answer; ``left`` is a downstream that waits for none."""
-        self.house.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
-        self.house.tracing.to.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
+        self.context.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
+        self.context.tracing.to.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
         self.log.debug("answer", outcome=outcome, attempts=attempts, host=host)
 
     def attempt(self, at: timedelta, number: int, host: str, status: str, took_us: int, detail: str = "") -> None:
-        self.house.tracing.to.attempt(at, self.request.id, number, host, status, took_us, detail)
+        self.context.tracing.to.attempt(at, self.request.id, number, host, status, took_us, detail)
         self.log.debug("attempt", number=number, host=host, status=status, took_us=took_us, detail=detail)
 
 
-def live(house: House, downstream: Downstream, asked: Asked) -> None:
+def live(context: Context, downstream: Downstream, asked: Asked) -> None:
     """Top to bottom: admitted, sent as the module chooses, answered once; then carried until it ends."""
-    house.counters.add("requests")
+    context.counters.add("requests")
     arrived = now()
-    request = api.Request(asked.id, asked.cls, micros(max(asked.wait, NOTHING)), asked.tenant, asked.key,
-                          asked.group, asked.load_hint, asked.is_retry, asked.is_return)
-    visit = house.decisions.enter(asked.id, arrived + asked.wait)
-    if visit is None:
+    closes = context.decisions.closes
+    wait = max(NOTHING, asked.wait if closes is None else min(asked.wait, closes - arrived))
+    request = api.Request(asked.id, asked.cls, micros(wait), asked.tenant, asked.key, asked.group, asked.load_hint,
+                          asked.is_retry, asked.is_return)
+    pending = context.decisions.enter(asked.id, arrived + wait)
+    if pending is None:
         # Not told as a request: its id is another's, and its story would be mixed up with that one's.
-        house.counters.add("ids_in_use")
-        house.log.seldom("id in use", id=asked.id)
+        context.counters.add("ids_in_use")
+        context.log.seldom("id in use", id=asked.id)
         downstream.fail()
         return
-    told = _Told(house, request, asked, arrived)
+    told = _Told(context, request, asked, arrived)
     try:
         if asked.bound_to is not None:
-            _resume(house, downstream, asked, request, visit, told)
+            _resume(context, downstream, asked, request, pending, told)
             return
-        house.decisions.tell(request)
+        context.decisions.tell(request)
         number = 0
         while True:
-            choice = visit.next()
+            choice = pending.next()
             if downstream.has_left():
                 told.answer(now(), "left", number)
-                house.decisions.tell(api.ClientGone(asked.id))
+                context.decisions.tell(api.ClientGone(asked.id))
                 return
             if isinstance(choice, api.Refuse):
                 told.answer(now(), "refused", number, wait_us=choice.retry_after_us)
@@ -109,122 +113,159 @@
                 downstream.fail()
                 return
             sent = now()
-            answer = _send(house, downstream, choice)
+            answer = _send(context, downstream, choice, pending)
             at = now()
             took = micros(at - sent)
+            if isinstance(answer, Up) and not _hold(context, answer.connection, choice.backend, pending):
+                answer = NO_THREAD
             if isinstance(answer, NotUp):
-                house.counters.add(f"upstream_{answer.status.name.lower()}")
+                context.counters.add(f"upstream_{answer.status.name.lower()}")
                 told.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
                 if answer.host_drains:
-                    house.drains(choice.backend)
+                    context.drains(choice.backend)
                 if answer.downstream_left:
                     told.answer(at, "left", number + 1)
-                    house.decisions.tell(api.ClientGone(asked.id))
-                house.decisions.tell(api.Outcome(asked.id, number, choice.backend, answer.status, took,
+                    context.decisions.tell(api.ClientGone(asked.id))
+                context.decisions.tell(api.Outcome(asked.id, number, choice.backend, answer.status, took,
                                                  finished=answer.downstream_left))
                 if answer.downstream_left:
                     return
                 number += 1
                 continue
             told.attempt(at, number, choice.backend, "up", took)
-            _stand(house, answer.standing, choice.backend, visit, told, at, number + 1)
-            house.decisions.tell(api.Opened(asked.id, number, choice.backend, took))
-            status = _carry(house, answer.standing, at, request)
-            house.decisions.tell(api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent),
+            _stand(context, answer.connection, choice.backend, told, at, number + 1)
+            context.decisions.tell(api.Opened(asked.id, number, choice.backend, took))
+            status = _carry(context, answer.connection, at, request)
+            context.decisions.tell(api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent),
                                              finished=True))
             return
     finally:
-        house.decisions.release(visit)
+        context.decisions.release(pending)
 
 
-def _send(house: House, downstream: Downstream, choice: api.Attempt) -> Answer:
-    host = house.cluster.find(choice.backend)
+def _send(context: Context, downstream: Downstream, choice: api.Attempt, pending: Pending) -> Answer:
+    host = context.cluster.find(choice.backend)
     # The list may have changed since the module chose; nothing reaches a host that is not in it.
-    if host is None or not house.cluster.takes_work(host):
+    if host is None or not context.cluster.takes_work(host):
         return NotUp(Status.NO_ROUTE)
-    house.counters.add("upstream_requests")
-    return downstream.upstream_request(partial(house.dial, host), span(choice.until_us), house.connect_within,
-                                       partial(house.cluster.sending, host))
+    context.counters.add("upstream_requests")
 
+    def dial(connect_within: timedelta, until: timedelta, beside: socket.socket | None = None) -> Side:
+        pending.upstream = context.dial(host, connect_within, until, beside)
+        return pending.upstream
 
-def _stand(house: House, standing: Standing, host: str, visit: Visit, told: _Told, at: timedelta,
-           attempts: int, resumed: bool = False) -> None:
-    """From here on it can be moved: whoever moves it finds its host."""
+    return _ask(context, partial(downstream.upstream_request, dial, span(choice.until_us), context.connect_within,
+                                 partial(context.cluster.sending, host)))
+
+
+def _ask(context: Context, request: Callable[[], Answer]) -> Answer:
+    """A fault of ours costs the attempt, which may have run, and never the answer that the downstream is owed."""
+    try:
+        return request()
+    except Exception as fault:
+        threads.note_fault(context.counters, context.log)
+        return NotUp(Status.CUT, detail=repr(fault))
+
+
+def _stand(context: Context, connection: Connection, host: str, told: _Told, at: timedelta, attempts: int,
+           resumed: bool = False) -> None:
     told.answer(at, "served", attempts, host)
-    _hold(house, standing, host, visit)
-    house.tracing.to.stand(at, standing.id, host, resumed)
+    context.tracing.to.stand(at, connection.id, host, resumed)
+
+
+NO_THREAD = NotUp(Status.CUT, detail="no thread to carry it")  # it has run: the module decides what may follow
+
+
+def _hold(context: Context, connection: Connection, host: str, pending: Pending) -> bool:
+    """From here on it can be moved: whoever moves it finds its host. False: it cannot be carried and its upstream side
+    is closed, while the downstream still waits for its answer."""
+    _settle(context, connection, host, pending)
+    if not connection.begin():
+        context.counters.add("no_thread")
+        sockets.close(connection.upstream)
+        pending.host = ""
+        return False
+    context.connections.add(connection)
+    return True
 
 
-def _hold(house: House, standing: Standing, host: str, visit: Visit) -> None:
-    standing.host = visit.host = host
-    if house.heir is not None and isinstance(standing.upstream, socket.socket):
-        standing.halt = house.heir.halt
-    house.connections.add(standing)
+def _settle(context: Context, connection: Connection, host: str, pending: Pending) -> None:
+    connection.host = pending.host = host
+    if context.heir is not None and isinstance(connection.upstream, socket.socket):
+        connection.halt = context.heir.halt
 
 
-def _carry(house: House, standing: Standing, began: timedelta, request: api.Request) -> Status:
+def _carry(context: Context, connection: Connection, began: timedelta, request: api.Request) -> Status:
     """From its stand, at ``began``, to its end here: that of the connection, or another process goes on with it."""
     try:
-        while (status := standing.carry(house.observer)) is None:
-            if house.heir is not None and house.heir.take(standing, request):
-                standing.let_go()
+        while (status := connection.carry(context.observer)) is None:
+            if context.heir is not None and context.heir.take(connection, request):
+                connection.let_go()
                 break
-            standing.thaw()
+            connection.thaw()
     finally:
-        house.connections.remove(standing)
+        context.connections.remove(connection)
+    if connection.fault is not None:
+        threads.note_fault(context.counters, context.log, connection.fault, id=connection.id)
     ended = "handed_on" if status is None else status.name.lower()
-    house.counters.add("moved" if standing.moved else "handed_on" if status is None else f"ended_{ended}")
+    context.counters.add("moved" if connection.moved else "handed_on" if status is None else f"ended_{ended}")
     at = now()
-    house.tracing.to.ended(at, standing.id, standing.host, ended, at - began, standing.moved)
+    context.tracing.to.ended(at, connection.id, connection.host, ended, at - began, connection.moved)
     return status or Status.CANCELLED
 
 
-def adopt(house: House, standing: Standing, request: api.Request, run: Callable[[Callable[[], None]], None]) -> bool:
+def adopt(context: Context, connection: Connection, request: api.Request,
+          run: Callable[[Callable[[], None]], None]) -> bool:
     """Goes on with a connection that another process has carried, in a thread that ``run`` starts. False: not here."""
-    visit = house.decisions.enter(request.id, now())
-    if visit is None:
+    pending = context.decisions.enter(request.id, now())
+    if pending is None:
         return False
     at = now()
 
     def carry() -> None:
         try:
-            house.counters.add("adopted")
-            house.tracing.to.stand(at, standing.id, standing.host, True)
-            _inherit(house, standing, request, at)
+            context.counters.add("adopted")
+            context.tracing.to.stand(at, connection.id, connection.host, True)
+            _inherit(context, connection, request, at)
         finally:
-            house.decisions.release(visit)
+            context.decisions.release(pending)
 
-    _hold(house, standing, standing.host, visit)
+    # Its second thread begins only in ``carry``: until this returns True the other process still has the connection.
+    _settle(context, connection, connection.host, pending)
+    context.connections.add(connection)
     try:
         run(carry)
     except RuntimeError:  # no thread to be had
-        house.connections.remove(standing)
-        house.decisions.release(visit)
+        context.connections.remove(connection)
+        context.decisions.release(pending)
         return False
     return True
 
 
-def _inherit(house: House, standing: Standing, request: api.Request, at: timedelta) -> None:
+def _inherit(context: Context, connection: Connection, request: api.Request, at: timedelta) -> None:
     """From its stand to its end: a connection that the module has not placed."""
-    house.decisions.tell(api.Inherited(request, standing.host))
-    status = _carry(house, standing, at, request)
-    house.decisions.tell(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
+    context.decisions.tell(api.Inherited(request, connection.host))
+    status = _carry(context, connection, at, request)
+    context.decisions.tell(api.Outcome(request.id, 0, connection.host, status, 0, finished=True))
 
 
-def _resume(house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: Visit,
+def _resume(context: Context, downstream: Downstream, asked: Asked, request: api.Request, pending: Pending,
             told: _Told) -> None:
     """A connection that its upstream host already holds: it goes there as it is, with no choice to make."""
     name = asked.bound_to or ""
     sent = now()
-    host = house.cluster.find(name)
-    answer: Answer = NotUp(Status.NO_ROUTE) if host is None else downstream.upstream_request(
-        partial(house.dial, host), sent + asked.wait, asked.wait, partial(nullcontext, True))
+    host = context.cluster.find(name)
+    answer: Answer = NotUp(Status.NO_ROUTE) if host is None else _ask(context, partial(
+        downstream.upstream_request, partial(context.dial, host), sent + asked.wait, asked.wait,
+        partial(nullcontext, True)))
     at = now()
     took = micros(at - sent)
-    house.counters.add("resumed")
+    if isinstance(answer, Up) and not _hold(context, answer.connection, name, pending):
+        answer = NO_THREAD
+    context.counters.add("resumed")
     if isinstance(answer, NotUp):
         status = answer.status.name.lower()
-        house.counters.add(f"resume_{status}")
+        context.counters.add(f"resume_{status}")
         told.attempt(at, 0, name, status, took, answer.detail)
         if answer.downstream_left:
             told.answer(at, "left", 1)
@@ -233,5 +274,5 @@
             downstream.fail()
         return
     told.attempt(at, 0, name, "up", took)
-    _stand(house, answer.standing, name, visit, told, at, 1, resumed=True)
-    _inherit(house, answer.standing, request, at)
+    _stand(context, answer.connection, name, told, at, 1, resumed=True)
+    _inherit(context, answer.connection, request, at)
--- a/bramblestile/log.py
+++ b/bramblestile/log.py
@@ -109,9 +109,9 @@
     def error(self, event: str, **fields: Any) -> None:
         self._say(logging.ERROR, event, fields)
 
-    def exception(self, event: str, **fields: Any) -> None:
-        """With the traceback of the exception in hand: a fault of ours, never of a peer's."""
-        self._say(logging.ERROR, event, fields, exception=True)
+    def exception(self, event: str, fault: Exception | None = None, **fields: Any) -> None:
+        """With the traceback of the fault, or of the exception in hand: a fault of ours, never of a peer's."""
+        self._say(logging.ERROR, event, fields, exception=fault or True)
 
     def seldom(self, event: str, **fields: Any) -> None:
         """A warning that a peer can cause at will: one of a kind each second, the rest are only counted."""
@@ -123,7 +123,8 @@
         if due:
             self._say(logging.WARNING, event, {**fields, **({"more_before": passed_over} if passed_over else {})})
 
-    def _say(self, level: int, event: str, fields: dict[str, Any], exception: bool = False) -> None:
+    def _say(self, level: int, event: str, fields: dict[str, Any],
+             exception: bool | Exception = False) -> None:
         if not _logger.isEnabledFor(level):
             return
         said = {k: _plain(v) for k, v in {**self.bound, **fields}.items()}
--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -74,7 +74,7 @@
                     self._listed[host.id] = host
             return [self._seen(host) for host in hosts]
 
-    def opine(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
+    def set_opinion(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
         """Takes an opinion; returns the host where it changes how it is seen."""
         with self._lock:
             host = self._listed.get(name)
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -14,14 +14,19 @@
 from queue import SimpleQueue
 from typing import Protocol
 
-from bramblestile import sockets
+from bramblestile import sockets, threads
 from bramblestile.clock import NOTHING, now
+from bramblestile.log import Log
+from bramblestile.memory.counters import Counters
 from vanegw.interface import Status
 
 MOST = 8192  # bytes passed on at once
 MOST_ASKED = 64  # unanswered messages of one connection whose times are kept
 LAST_WORD = timedelta(seconds=1)  # after the downstream's end, for the upstream host to end too
 MOVE_BOUND = timedelta(milliseconds=500)  # a move waits so long for a message in passing to be whole
+# A message of which nothing has come for so long ends no more: TCP has repaired three losses in a row by then, at its
+# least time-out of 0.2 s that doubles (0.2 + 0.4 + 0.8 s). With the 4 s after which a host is mute it stays under 7 s.
+STALLED = timedelta(seconds=2)
 WATCH_EVERY = timedelta(milliseconds=100)
 NOTED_FROM = timedelta(milliseconds=250)  # a shorter silence is no news
 NOTE_EVERY = timedelta(seconds=1)  # between two notes of one upstream host's delay
@@ -62,17 +67,17 @@
         """How much of the data may go on now, and what messages ended in it."""
 
     def between(self) -> bool:
-        """All that has gone on so far ends with a whole message."""
+        """All that was fed so far and may go on ends with a whole message."""
 
 
 class Observer(Protocol):
     """Who hears of a standing connection's news."""
 
-    def load(self, standing: Standing, value: float) -> None: ...
+    def load(self, connection: Connection, value: float) -> None: ...
 
-    def delay(self, standing: Standing, delay: timedelta) -> None: ...
+    def delay(self, connection: Connection, delay: timedelta) -> None: ...
 
-    def drains(self, standing: Standing) -> None: ...
+    def drains(self, connection: Connection) -> None: ...
 
 
 class Halt:
@@ -100,7 +105,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class Connection:
     """A connection that is up: its two sockets, and what is known of its end."""
 
     id: str
@@ -117,6 +122,10 @@
     lock: threading.Lock = field(default_factory=threading.Lock)  # writes to the downstream
     moved: bool = False
     started: bool = False  # the downstream has its first answer: only then can it be told to move
+    # With the lock held: all that has gone down ends with a whole message. The framer is ahead of the writes, so that
+    # its word would let a farewell into a payload whose end is read and not yet passed on.
+    between: bool = True
+    passed_at: timedelta = NOTHING  # when a part of a message last went down that is still to end
     move_wanted: bool = False
     refused: bool = False  # the downstream broke its protocol and was told so
     last: Kind = Kind.OTHER
@@ -130,13 +139,17 @@
     halted_up: bool = False
     frozen: bool = False  # nothing is read or written here any more, unless it is thawed
     turn: threading.Lock = field(default_factory=threading.Lock)  # whether a direction still may halt
+    back: threading.Thread | None = None  # passes on what the downstream says
+    fault: Exception | None = None  # a fault of ours ended it
 
     def carry(self, observer: Observer) -> Status | None:
         """Passes all bytes on, both ways, until either side ends; ends the other in the same way. None: it was halted
         and is frozen, both sockets being as they were; whoever goes on with it finds what was read in ``first_up`` and
         ``first_down``."""
-        back = threading.Thread(target=self._pass_up, name="up " + self.id, daemon=True)
-        back.start()
+        back = self.back
+        if back is None:
+            back = self._start_back()
+        self.back = None
         try:
             self._pass_down(observer)
             if self.halted_down:
@@ -144,14 +157,42 @@
                 if self._freeze():
                     return None
                 if self.halted_up:
-                    back = threading.Thread(target=self._pass_up, name="up " + self.id, daemon=True)
-                    back.start()
+                    back = self._start_back()
                 self._pass_down(observer)
+        except Exception as fault:
+            self._break_off(fault)
         finally:
             if not self.frozen:
                 self._end(back)
         return self._status()
 
+    def begin(self) -> bool:
+        """Its second thread, before anything is passed on: what cannot be carried has not come up. False: there is
+        none to be had."""
+        try:
+            self.back = self._start_back()
+        except RuntimeError:
+            return False
+        return True
+
+    def _start_back(self) -> threading.Thread:
+        back = threading.Thread(target=self._back, name="up " + self.id, daemon=True)
+        back.start()
+        return back
+
+    def _back(self) -> None:
+        try:
+            self._pass_up()
+        except Exception as fault:
+            self._break_off(fault)
+
+    def _break_off(self, fault: Exception) -> None:
+        """A fault of ours: nothing more can be passed on, and whoever waits for it would wait for good. The downstream
+        is told to move where that can be told."""
+        self.fault = fault
+        self.move()
+        self._wake_both()
+
     def _halts(self, poll: select.poll, held: memoryview, up: bool) -> bool:
         """Waits until there is something to read. True: this direction halts instead, with the bytes that it holds."""
         halt = self.halt
@@ -203,7 +244,7 @@
         sockets.close(self.upstream, reset=self.reset_down)
 
     def _status(self) -> Status:
-        if self.moved or self.refused or self.reset_down or self.last is Kind.AWAY:
+        if self.moved or self.refused or self.reset_down or self.fault or self.last is Kind.AWAY:
             return Status.CANCELLED
         if self.last is Kind.LAST:
             return Status.SERVED
@@ -278,7 +319,10 @@
                 self.reset_down = True
                 return False
             self.started = True
-            if self.move_wanted and self.from_upstream.between():
+            self.between = self.from_upstream.between()
+            if not self.between:
+                self.passed_at = now()
+            elif self.move_wanted:
                 self._farewell()
             return not self.moved
 
@@ -333,14 +377,31 @@
             self.move_wanted = True  # the writer has the lock and says the farewell itself
             return True
         with self.lock_held():
-            if self.moved or self.refused or self.frozen or self.over.is_set() or self.last is Kind.AWAY:
-                return False  # its host has told it itself: a second farewell would be a line of nobody's
-            if not (self.started and self.from_upstream.between()):
+            if self._is_over():
+                return False
+            if not (self.started and self.between):
                 self.move_wanted = True
                 return True
             self._farewell()
             return True
 
+    def end_stalled(self) -> bool:
+        """Ends a connection whose move waits for the end of a message that does not come. Inside it no farewell can be
+        read, and whoever is told nothing would wait for good. True where it is ended here."""
+        if not self.move_wanted or not self.lock.acquire(blocking=False):
+            return False  # or its writer has the lock, and says the farewell itself
+        with self.lock_held():
+            if self._is_over() or self.between or now() - self.passed_at < STALLED:
+                return False
+            self.moved = True
+            self._wake_both()
+            return True
+
+    def _is_over(self) -> bool:
+        """With the lock held: its client has had its last word, or will have it from another process."""
+        # AWAY: its host has told it itself, and a second farewell would be a line of nobody's.
+        return self.moved or self.refused or self.frozen or self.over.is_set() or self.last is Kind.AWAY
+
     def lock_held(self) -> _Held:
         return _Held(self.lock)
 
@@ -360,6 +421,10 @@
             sockets.write(self.downstream, [words])
         except OSError:
             self.reset_down = True
+        self._wake_both()
+
+    def _wake_both(self) -> None:
+        """Wakes whoever reads on either side, for the end."""
         sockets.wake(self.upstream)
         sockets.wake(self.downstream)
 
@@ -399,15 +464,15 @@
     late while others, asked after it, are answered in good time tells of its own connection and nothing of the host:
     seen, one connection that had fallen silent emptied a host at half its load."""
 
-    def __init__(self, threshold: timedelta, note: Callable[[Standing, timedelta], None]) -> None:
+    def __init__(self, threshold: timedelta, note: Callable[[Connection, timedelta], None]) -> None:
         self.threshold = threshold
         self._note = note
         self._lock = threading.Lock()
         self._hosts: dict[str, _Seen] = {}
 
-    def seen(self, standing: Standing, took: timedelta, answered: bool = True) -> None:
+    def seen(self, connection: Connection, took: timedelta, answered: bool = True) -> None:
         with self._lock:
-            host = self._hosts.setdefault(standing.host, _Seen(took))
+            host = self._hosts.setdefault(connection.host, _Seen(took))
             if answered:
                 host.least = min(host.least, took)
             delay, at = took - host.least, now()
@@ -420,16 +485,18 @@
             if not (high or (host.high and answered)) or at - host.noted < NOTE_EVERY:
                 return
             host.high, host.noted = high, at
-        self._note(standing, delay)
+        self._note(connection, delay)
 
 
 class Connections:
     """All standing connections, and the two threads that look after them."""
 
-    def __init__(self, on_mute: Callable[[Standing, timedelta], None],
-                 on_hush: Callable[[Standing, timedelta], None]) -> None:
+    def __init__(self, on_mute: Callable[[Connection, timedelta], None],
+                 on_hush: Callable[[Connection, timedelta], None], counters: Counters | None = None) -> None:
         self._lock = threading.Lock()
-        self._all: dict[str, Standing] = {}
+        self._counters = counters or Counters()
+        self._log = Log(part="connections")
+        self._all: dict[str, Connection] = {}
         self._moves: SimpleQueue[str] = SimpleQueue()
         self._on_mute = on_mute
         self._on_hush = on_hush
@@ -439,15 +506,15 @@
         for run in (self._run_moves, self._run_watch):
             threading.Thread(target=run, name=run.__name__, daemon=True).start()
 
-    def add(self, standing: Standing) -> None:
+    def add(self, connection: Connection) -> None:
         with self._lock:
-            self._all[standing.id] = standing
+            self._all[connection.id] = connection
 
-    def remove(self, standing: Standing) -> None:
+    def remove(self, connection: Connection) -> None:
         with self._lock:
-            self._all.pop(standing.id, None)
+            self._all.pop(connection.id, None)
 
-    def all(self) -> list[Standing]:
+    def all(self) -> list[Connection]:
         with self._lock:
             return list(self._all.values())
 
@@ -455,28 +522,37 @@
         self._moves.put(name)  # a slow downstream must not hold up the thread that brought the news
 
     def _run_moves(self) -> None:
-        while True:
-            name = self._moves.get()
-            with self._lock:
-                standing = self._all.get(name)
-            if standing is not None:
-                standing.move()
+        threads.forever(self._next_move, self._counters, self._log)
+
+    def _next_move(self) -> bool:
+        name = self._moves.get()
+        with self._lock:
+            connection = self._all.get(name)
+        if connection is not None:
+            connection.move()
+        return True
 
     def _run_watch(self) -> None:
-        while not self._stop.wait(WATCH_EVERY.total_seconds()):
-            hosts: dict[str, list[Standing]] = {}
-            for standing in self.all():
-                hosts.setdefault(standing.host, []).append(standing)
-            for held in hosts.values():
-                self._look_at(held)
-
-    def _look_at(self, held: list[Standing]) -> None:
+        threads.forever(self._look, self._counters, self._log)
+
+    def _look(self) -> bool:
+        if self._stop.wait(WATCH_EVERY.total_seconds()):
+            return False
+        hosts: dict[str, list[Connection]] = {}
+        for connection in self.all():
+            hosts.setdefault(connection.host, []).append(connection)
+            connection.end_stalled()
+        for held in hosts.values():
+            self._look_at(held)
+        return True
+
+    def _look_at(self, held: list[Connection]) -> None:
         """One upstream host's connections: which return nothing, and whether none of them does."""
-        mute = {standing: silent for standing in held if (silent := standing.mute_for()) > NOTED_FROM}
+        mute = {connection: silent for connection in held if (silent := connection.mute_for()) > NOTED_FROM}
         if not mute:
             return
-        first = max(mute, key=lambda standing: mute[standing])
-        answered = max(standing.answered for standing in held)
+        first = max(mute, key=lambda connection: mute[connection])
+        answered = max(connection.answered for connection in held)
         hush = min(mute[first], now() - answered)
         if len(mute) == 1 < len(held):
             # One of several may tell of itself alone, until the others too must have asked. Seen: a host at a third of
@@ -484,5 +560,5 @@
             hush -= ASK_EVERY
         if hush > NOTED_FROM:
             self._on_hush(first, hush)
-        for standing, silent in mute.items():
-            self._on_mute(standing, silent)
+        for connection, silent in mute.items():
+            self._on_mute(connection, silent)
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -12,10 +12,12 @@
 from queue import Empty, SimpleQueue
 from typing import Any
 
-from bramblestile.clock import MICROSECOND, now
+from bramblestile import sockets, threads
+from bramblestile.clock import MICROSECOND, NOTHING, now
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.memory.counters import Counters
+from bramblestile.sockets import Side
 from bramblestile.tracing import Tracer, Tracing
 from vanegw import interface as api
 from vanegw import passing
@@ -47,7 +49,7 @@
     return "overload"
 
 
-class Visit:
+class Pending:
     """One request's place in the decisions: the module's choices for it come in here, in order."""
 
     def __init__(self, name: str, deadline: timedelta) -> None:
@@ -55,6 +57,7 @@
         self.deadline = deadline
         self.choices: SimpleQueue[Choice] = SimpleQueue()
         self.host = ""  # where its connection stands
+        self.upstream: Side | None = None  # the connection of its latest attempt
 
     def next(self) -> Choice:
         """What the module chooses next. Were it silent, the answer would still be owed: failed."""
@@ -75,11 +78,12 @@
         self._counters = counters
         self._lock = threading.Lock()
         self._due = threading.Condition(threading.Lock())
-        self._timers: list[tuple[timedelta, int, str]] = []
+        self._timers: list[tuple[timedelta, int, api.Event]] = []
         self._set = 0
-        self._visits: dict[str, Visit] = {}
+        self._pending: dict[str, Pending] = {}
+        self.closes: timedelta | None = None  # this process ends: nobody is to wait for longer
         # Set by the start: what to do, outside the lock, with the actions that concern no request.
-        self.on_probe: Callable[[str], None] = lambda host: None
+        self.on_probe: Callable[[str], bool] = lambda host: True  # False: no result will come
         self.on_move: Callable[[str], None] = lambda connection: None
         self.on_subscribe: Callable[[], None] = lambda: None
 
@@ -105,16 +109,31 @@
             self._counters.add("recall_refused")
             self._log.warning("recall", text=f"served on without: {error!r}")
 
-    def enter(self, name: str, deadline: timedelta) -> Visit | None:
+    def enter(self, name: str, deadline: timedelta) -> Pending | None:
         """A request's place under its id, until it is released; None while another holds that id. Whoever
         sends the id of another's open request must not get at what is answered, moved or ended under it."""
-        visit = Visit(name, deadline)
+        pending = Pending(name, deadline)
         with self._lock:
-            return visit if self._visits.setdefault(name, visit) is visit else None
+            return pending if self._pending.setdefault(name, pending) is pending else None
 
-    def release(self, visit: Visit) -> None:
+    def release(self, pending: Pending) -> None:
         with self._lock:
-            del self._visits[visit.id]
+            del self._pending[pending.id]
+
+    def close_by(self, at: timedelta) -> None:
+        """This process ends: by then whoever waits is answered, as at its deadline."""
+        with self._lock:
+            self.closes = at
+            for flight in self._balancer.flights.values():
+                flight.deadline = min(flight.deadline, micros(at))
+
+    def end_attempts(self) -> None:
+        """Those that are out from before, and would be for longer; a choice that is made now is an answer."""
+        with self._lock:
+            waiting = [pending.upstream for pending in self._pending.values() if not pending.host]
+        for upstream in waiting:
+            if upstream is not None:
+                sockets.wake(upstream)
 
     def list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         """News of the cluster. The addresses come first: the module may choose a new host at once."""
@@ -123,9 +142,9 @@
             self._counters.add("list_unavailable")
         self.tell(api.BackendList(mode, tuple(backend(h) for h in seen)))
 
-    def opine(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
+    def set_opinion(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
         """What a check says of a host. True where it is news."""
-        return self._changed(self._cluster.opine(name, takes_work, share))
+        return self._changed(self._cluster.set_opinion(name, takes_work, share))
 
     def drains(self, name: str) -> bool:
         """The host has said itself that it drains. True where it is news."""
@@ -169,9 +188,9 @@
             counted = self._balancer.counted
             for action in actions:
                 if isinstance(action, (api.Attempt, api.Refuse, api.Fail)):
-                    visit = self._visits.get(action.id)
-                    if visit is not None:
-                        visit.choices.put(action)
+                    pending = self._pending.get(action.id)
+                    if pending is not None:
+                        pending.choices.put(action)
                 else:
                     later.append(action)
         for name in counted:
@@ -196,17 +215,16 @@
             if isinstance(action, api.Probe):
                 tracer.probe_sent(at, self._name, action.backend)
             elif isinstance(action, api.Move):
-                visit = self._visits.get(action.id)
-                tracer.moved(at, action.id, visit.host if visit else "", reason(event))
+                pending = self._pending.get(action.id)
+                tracer.moved(at, action.id, pending.host if pending else "", reason(event))
 
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            with self._due:
-                self._set += 1
-                heapq.heappush(self._timers, (now() + span(action.after_us), self._set, action.token))
-                self._due.notify()
+            self._tell_later(api.TimerFired(action.token), span(action.after_us))
         elif isinstance(action, api.Probe):
-            self.on_probe(action.backend)
+            if not self.on_probe(action.backend):
+                # Requests wait for its result. Told by the timers' thread, as this one is telling something already.
+                self._tell_later(api.ProbeResult(action.backend, api.Status.NOT_SENT, 0), NOTHING)
         elif isinstance(action, api.Move):
             self.on_move(action.id)
         elif isinstance(action, api.Subscribe):
@@ -214,11 +232,20 @@
             self.on_subscribe()
         # A Cancel needs nothing: the request's own thread has seen the downstream leave and ends the attempt.
 
+    def _tell_later(self, event: api.Event, after: timedelta) -> None:
+        with self._due:
+            self._set += 1
+            heapq.heappush(self._timers, (now() + after, self._set, event))
+            self._due.notify()
+
     def _run_timers(self) -> None:
-        while True:
-            with self._due:
-                while not self._timers or self._timers[0][0] > now():
-                    left = self._timers[0][0] - now() if self._timers else None
-                    self._due.wait(None if left is None else max(0.0, left.total_seconds()))
-                token = heapq.heappop(self._timers)[2]
-            self.tell(api.TimerFired(token))
+        threads.forever(self._next_timer, self._counters, self._log)
+
+    def _next_timer(self) -> bool:
+        with self._due:
+            while not self._timers or self._timers[0][0] > now():
+                left = self._timers[0][0] - now() if self._timers else None
+                self._due.wait(None if left is None else max(0.0, left.total_seconds()))
+            event = heapq.heappop(self._timers)[2]
+        self.tell(event)
+        return True
--- a/bramblestile/memory/lobby.py
+++ b/bramblestile/memory/lobby.py
@@ -42,6 +42,13 @@
             if old is not None:
                 self._send_away(old)
 
+    def empty(self) -> None:
+        """Nobody is waited for any more."""
+        with self._changed:
+            for sock in self._held:
+                if sock not in self._sent_away:
+                    self._send_away(sock)
+
     def _send_away(self, sock: socket.socket) -> None:
         self._sent_away.add(sock)
         sockets.wake(sock, socket.SHUT_RD)
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -14,7 +14,7 @@
 import threading
 from datetime import timedelta
 
-from bramblestile import sockets
+from bramblestile import sockets, threads
 from bramblestile.clock import NOTHING, now
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
@@ -125,8 +125,7 @@
                 self._turn()
             except Exception:
                 # Operators must be able to call whatever a single caller has brought about.
-                self._counters.add("faults")
-                self._log.exception("fault")
+                threads.note_fault(self._counters, self._log)
                 for caller in list(self._callers.values()):
                     self._end(caller)
         if self._sock is not None:
--- a/bramblestile/operations/succession.py
+++ b/bramblestile/operations/succession.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from bramblestile.log import Log
-from bramblestile.memory.connections import Halt, Standing
+from bramblestile.memory.connections import Connection, Halt
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.passport import packed
 from vanegw import interface as api
@@ -98,19 +98,19 @@
             self._tell_learned(link)  # what was sent to cold hosts since it was told first
         self.halt.set()
 
-    def take(self, standing: Standing, request: api.Request) -> bool:
+    def take(self, connection: Connection, request: api.Request) -> bool:
         """The successor's word on a frozen connection. Where it has ended, nobody else carries it; where it lives and
         says nothing, it may."""
         with self._lock:
             link = self._successor if self._ready.is_set() else None
-            if link is None or standing.id in self._waits:
+            if link is None or connection.id in self._waits:
                 return False
-            word = self._waits[standing.id] = SimpleQueue()
+            word = self._waits[connection.id] = SimpleQueue()
         try:
-            raw = _said(packed(standing, request))
-            if len(raw) > LONGEST or not isinstance(standing.upstream, socket.socket):
+            raw = _said(packed(connection, request))
+            if len(raw) > LONGEST or not isinstance(connection.upstream, socket.socket):
                 return False
-            socket.send_fds(link, [raw], [standing.downstream.fileno(), standing.upstream.fileno()])
+            socket.send_fds(link, [raw], [connection.downstream.fileno(), connection.upstream.fileno()])
             return word.get(timeout=TAKEN_WITHIN.total_seconds())
         except OSError:
             return False  # not sent: it has ended
@@ -119,7 +119,7 @@
             return True
         finally:
             with self._lock:
-                self._waits.pop(standing.id, None)
+                self._waits.pop(connection.id, None)
 
     def _tell_learned(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError):
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -30,6 +30,7 @@
 MOST_SEEDS = 16
 LONGEST_MEMBER = 64  # bytes of a member's name and hall, as fleet/messages.py bounds them
 KEY_BYTES = 16, 64  # as BLAKE2 takes them, and none that could be guessed
+DESCRIPTORS_MOST = 1 << 20
 LOBBY_LEAST, LOBBY_MOST, LOBBY_SHARE = 16, 256, 8
 
 
@@ -75,6 +76,7 @@
     checks: Mapping[str, agent.Check] = field(default_factory=dict)
     check_every: timedelta = CHECK_EVERY
     lobby: int = LOBBY_MOST  # downstreams that are no request yet
+    descriptors: int = DESCRIPTORS_MOST  # that the process may hold
     tls: TlsConfig | None = None  # to the upstream hosts; None: off
 
 
@@ -254,7 +256,7 @@
         probe_within=spans.micros("probe_us", PROBE_WITHIN),
         checks=_checks(at.section("checks"), {h.id for h in hosts}),
         check_every=spans.micros("check_us", CHECK_EVERY, 10_000),
-        lobby=_lobby(top.section("limits")),
+        lobby=_lobby(top.section("limits")), descriptors=_descriptors(top.section("limits")),
         tls=_tls(at.section("tls"), hosts) if at.has("tls") else None,
     )
 
@@ -288,13 +290,17 @@
 
 
 def _lobby(limits: Section) -> int:
-    """From the limits that the file tells, or else from the process's own."""
-    own = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    descriptors = limits.integer("sockets", own if 0 < own < 1 << 20 else 1 << 20, 64)
+    descriptors = _descriptors(limits)
     memory = limits.integer("memory_mb", LOBBY_MOST, 16)
     return max(LOBBY_LEAST, min(LOBBY_MOST, memory, descriptors // LOBBY_SHARE))
 
 
+def _descriptors(limits: Section) -> int:
+    """From the limits that the file tells, or else from the process's own."""
+    own = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return limits.integer("sockets", own if 0 < own < DESCRIPTORS_MOST else DESCRIPTORS_MOST, 64)
+
+
 def _checks(at: Section, known: set[str]) -> dict[str, agent.Check]:
     """For each upstream host its agent's address, or ``http`` and ``path``."""
     made = {}
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -21,7 +21,7 @@
 from bramblestile.clock import NOTHING, now
 from bramblestile.life import adopt
 from bramblestile.log import Log
-from bramblestile.memory.connections import Standing
+from bramblestile.memory.connections import Connection
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.calls import Operators
 from bramblestile.operations.evacuation import Evacuation
@@ -61,6 +61,8 @@
 LEAVING_BEYOND = timedelta(milliseconds=600)  # from SIGTERM to the exit, beyond the longest deadline
 MOVES_FROM = timedelta(milliseconds=450)  # sooner, the front might send the moved here again
 LAST_MOVES = timedelta(milliseconds=350)  # before the exit: by then all that stands has been told
+# Before the exit: whoever still waits then, for longer than SIGKILL does, gets the answer that it is owed.
+LAST_ANSWERS = timedelta(milliseconds=150)
 # With a successor only those are moved that it could not take over. By then all others have gone to it.
 MOVES_TO_SUCCESSOR = timedelta(milliseconds=700)
 RECALL_WITHIN = timedelta(milliseconds=500)  # for the process before to tell what it knows
@@ -166,7 +168,7 @@
                 self.succession = Succession(config.kept_in, self.counters)
                 self.succession.adopt = self._adopt
                 self.succession.learned, self.succession.recall = self.lines.decisions.learned, self._recall
-                self.lines.house.heir = self.succession
+                self.lines.context.heir = self.succession
 
     def start(self) -> None:
         self._trace(self.config.trace)  # first: the trace begins with the list that the fronts start from
@@ -232,10 +234,10 @@
     def _adopt(self, message: dict[str, Any], downstream: socket.socket, upstream: socket.socket) -> bool:
         """Goes on with a connection of the process before."""
         assert self.lines is not None and self.lines.listener is not None
-        standing, request = unpacked(message, downstream, upstream)
+        connection, request = unpacked(message, downstream, upstream)
         for side in (downstream, upstream):
             sockets.tune(side)
-        return adopt(self.lines.house, standing, request, self.lines.listener.run)
+        return adopt(self.lines.context, connection, request, self.lines.listener.run)
 
     def _take_from_inherited(self) -> None:
         if self.lines is not None and self.lines.inherited is not None and self.lines.listener is not None:
@@ -492,8 +494,23 @@
             self.succession.hand_on()
         # The moved come back at once, all of them: spread as widely as the time allows, they are no storm.
         plan = Evacuation(began + (MOVES_TO_SUCCESSOR if succeeded else MOVES_FROM), began + leaving - LAST_MOVES)
-        while now() < began + leaving and (now() < plan.first or any(listener.busy for listener in listeners)):
+        last = began + leaving - LAST_ANSWERS
+        for front in self.fronts:
+            front.decisions.close_by(last)
+        answered = stopped = False
+        while now() < began + leaving:
+            if now() >= plan.first and not any(listener.busy for listener in listeners):
+                if stopped:
+                    break
+                for listener in listeners:  # who is there already is taken
+                    listener.stop()
+                stopped = True
+                continue
             self._evacuate(plan, "stop")
+            if not answered and now() >= last:
+                answered = True
+                for front in self.fronts:
+                    front.end_waits()
             time.sleep(TICK.total_seconds())
 
     def _evacuate(self, plan: Evacuation, reason: str, host: str | None = None) -> None:
@@ -505,10 +522,10 @@
         for one in plan.due(at, standing):
             self._move(one, reason)
 
-    def _move(self, standing: Standing, reason: str) -> None:
-        told = standing.moved or standing.move_wanted
-        if standing.move(TICK) and not told:
-            self.tracing.to.moved(now(), standing.id, standing.host, reason)
+    def _move(self, connection: Connection, reason: str) -> None:
+        told = connection.moved or connection.move_wanted
+        if connection.move(TICK) and not told:
+            self.tracing.to.moved(now(), connection.id, connection.host, reason)
 
     def _stop_listening(self, listeners: list[Listener], after: timedelta) -> None:
         time.sleep(after.total_seconds())
@@ -519,7 +536,7 @@
         longest = max(c.deadline_us for front in self.fronts for c in front.config.settings.classes)
         return min(timedelta(microseconds=longest), LONGEST_DEADLINE)
 
-    def _standing(self) -> list[Standing]:
+    def _standing(self) -> list[Connection]:
         return [one for front in self.fronts for one in front.connections.all()]
 
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -8,16 +8,18 @@
 from contextlib import contextmanager
 from dataclasses import replace
 from datetime import timedelta
+from functools import partial
 from typing import TYPE_CHECKING
 
-from bramblestile import sockets
+from bramblestile import sockets, threads
 from bramblestile.clock import NOTHING, now
-from bramblestile.life import House, live
+from bramblestile.life import Context, live
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
-from bramblestile.memory.connections import Connections, Delays, Standing
+from bramblestile.memory.connections import Connection, Connections, Delays
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions
+from bramblestile.memory.descriptors import Descriptors
 from bramblestile.memory.lobby import Lobby
 from bramblestile.process.config import ConfigError, FrontConfig, NatsConfig, TlsConfig
 from bramblestile.process.listeners import Listener
@@ -30,11 +32,15 @@
 from bramblestile.wire.discovery import Watch
 from bramblestile.wire.probes import Ask, Probes
 from vanegw import interface as api
+from vanegw.asking import pace
 
 if TYPE_CHECKING:
     from bramblestile import tls
 
 FIRST_LINE = timedelta(seconds=2)  # from the accept to the whole first line, however many PINGs come before
+# Who knows no host says yes only when it has heard of some, or when it may be that nobody ever tells: nine in ten
+# processes are to be ready within 10 s, whatever discovery does.
+YES_BY = timedelta(seconds=5)
 LOOK_AGAIN = timedelta(seconds=1)  # between two looks at a NATS host that has said that it drains
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -76,6 +82,7 @@
 
     name = ""
     key = ""  # of its address, in the configuration
+    full = b""  # what tells a downstream to come again
 
     def __init__(self, config: FrontConfig, counters: Counters, tracing: Tracing | None = None) -> None:
         self.config = config
@@ -85,12 +92,14 @@
         self.cluster = Cluster()
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing,
                                    self.name)
-        self.connections = Connections(self.mute, self.hush)
+        self.connections = Connections(self.mute, self.hush, counters)
         self.delays = Delays(noted_from(config.settings), self._note_delay)
-        self.house = House(self.decisions, self.cluster, self.connections, counters, self,
+        self.context = Context(self.decisions, self.cluster, self.connections, counters, self,
                            config.connect_within, self.host_drains, self._dial, self.tracing, self.name)
         self.tls = None if config.tls is None else self._make_tls(config.tls)
-        self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.tell, counters)
+        self.descriptors = Descriptors(config.descriptors)
+        self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.tell, counters,
+                             self.descriptors)
         self.watch = None if config.discovery is None else self._make_watch(
             config.discovery, config.known_version)
         self.checks = Checks(config.checks, config.check_every, self.checked, counters)
@@ -99,6 +108,7 @@
         self.inherited: socket.socket | None = None  # a listening socket that others hold too; None: one of our own
         self.stopped = threading.Event()
         self.away = False  # operators have clients sent away
+        self.began = now()
         self.heard = threading.Event()  # discovery has told the list, or there is none to tell it
         if config.discovery is None:
             self.heard.set()
@@ -112,10 +122,11 @@
 
     before_tls: Callable[[Side, timedelta], bytes] | None = None  # what the protocol says before TLS begins
 
-    def _dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
+    def _dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta,
+              beside: socket.socket | None = None) -> Side:
         """Whatever the configuration of the moment says: a reload may begin or end TLS."""
         if self.tls is None:
-            return plain(host, connect_within, until)
+            return plain(host, connect_within, until, beside)
         return self.tls.dial(host, connect_within, until)
 
     def warmth(self, host: UpstreamHost, later: timedelta = NOTHING) -> float:
@@ -162,12 +173,13 @@
         self.checks.start()
         with naming(self.key, self.config.listen):
             self.listener = Listener(self.config.listen, self.serve, self.counters, self.name, self.lobby,
-                                     self.inherited)
+                                     self.inherited, self.descriptors, self.full)
         if self.inherited is None:
             self.listener.start()
 
     def _make_watch(self, discovery: Address, version: int | None) -> Watch:
-        return Watch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text))
+        return Watch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text),
+                     pace(self.config.settings), self.counters)
 
     def _told(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         self.decisions.list(mode, hosts)
@@ -177,6 +189,14 @@
     def _start_watch(self, watch: Watch) -> None:
         self.decisions.on_subscribe = watch.ask
         watch.start()
+        if not self.config.settings.list_on_request:
+            # Pushed lists come from an agent of our own, and what it has counts as told from our first moment. Seen:
+            # the module asks for lists that are to be asked for, and where they are pushed nobody ever opened a watch.
+            watch.ask()
+
+    def says_yes(self) -> bool:
+        """Whether clients are to be sent here: a yes with no host to send them to would be a blind one."""
+        return not self.away and (bool(self.config.known) or self.heard.is_set() or now() >= self.began + YES_BY)
 
     def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
         """Takes the new configuration while all that stands stays as it is. ``take_tls``: what ``prepare`` gave."""
@@ -187,8 +207,9 @@
         take_tls()
         self.decisions.reconfigure(config.settings)
         self.delays.threshold = noted_from(config.settings)
-        self.house.connect_within, self.probes.within = config.connect_within, config.probe_within
+        self.context.connect_within, self.probes.within = config.connect_within, config.probe_within
         self.lobby.most = config.lobby
+        self.descriptors.limit(config.descriptors)
         self._follow(old.discovery, config)
         if (config.checks, config.check_every) != (old.checks, old.check_every):
             self.checks.stop()
@@ -198,6 +219,8 @@
             self.checks.start()
 
     def _follow(self, old: Address | None, config: FrontConfig) -> None:
+        if self.watch is not None:
+            self.watch.pace = pace(config.settings)
         if config.discovery is None:
             if self.watch is not None:
                 self.watch.stop()
@@ -222,6 +245,11 @@
         if self.listener is not None:
             self.listener.stop()
 
+    def end_waits(self) -> None:
+        """The process ends: nobody is left without an answer, neither requests nor those who are none yet."""
+        self.lobby.empty()
+        self.decisions.end_attempts()
+
     def prober(self) -> tuple[Ask, Callable[[], None]]:
         raise NotImplementedError
 
@@ -245,27 +273,27 @@
 
     # The observer of standing connections.
 
-    def _note(self, standing: Standing, kind: api.NoteKind, value: float) -> None:
-        self.decisions.tell(api.Note(standing.id, 0, standing.host, kind, value))
+    def _note(self, connection: Connection, kind: api.NoteKind, value: float) -> None:
+        self.decisions.tell(api.Note(connection.id, 0, connection.host, kind, value))
 
-    def load(self, standing: Standing, value: float) -> None:
-        self._note(standing, api.NoteKind.LOAD, value)
+    def load(self, connection: Connection, value: float) -> None:
+        self._note(connection, api.NoteKind.LOAD, value)
 
-    def delay(self, standing: Standing, delay: timedelta) -> None:
-        self.delays.seen(standing, delay)
+    def delay(self, connection: Connection, delay: timedelta) -> None:
+        self.delays.seen(connection, delay)
 
-    def drains(self, standing: Standing) -> None:
-        self.host_drains(standing.host)
+    def drains(self, connection: Connection) -> None:
+        self.host_drains(connection.host)
 
-    def mute(self, standing: Standing, delay: timedelta) -> None:
-        self._note(standing, api.NoteKind.SILENCE, delay / MILLISECOND)
+    def mute(self, connection: Connection, delay: timedelta) -> None:
+        self._note(connection, api.NoteKind.SILENCE, delay / MILLISECOND)
 
-    def hush(self, standing: Standing, silent: timedelta) -> None:
-        self.delays.seen(standing, silent, answered=False)
-        self._note(standing, api.NoteKind.HUSH, silent / MILLISECOND)
+    def hush(self, connection: Connection, silent: timedelta) -> None:
+        self.delays.seen(connection, silent, answered=False)
+        self._note(connection, api.NoteKind.HUSH, silent / MILLISECOND)
 
-    def _note_delay(self, standing: Standing, delay: timedelta) -> None:
-        self._note(standing, api.NoteKind.DELAY, delay / MILLISECOND)
+    def _note_delay(self, connection: Connection, delay: timedelta) -> None:
+        self._note(connection, api.NoteKind.DELAY, delay / MILLISECOND)
 
     def host_drains(self, name: str) -> None:
         """An upstream host's own word that it drains counts like discovery's."""
@@ -273,7 +301,7 @@
             self.counters.add("told_draining_by_host")
 
     def checked(self, name: str, opinion: Opinion) -> None:
-        if self.decisions.opine(name, opinion.takes_work, opinion.share):
+        if self.decisions.set_opinion(name, opinion.takes_work, opinion.share):
             self.counters.add("checks_changed_a_host")
             self.log.info("check", host=name, takes_work=opinion.takes_work, share=opinion.share)
 
@@ -288,6 +316,7 @@
 
     name = "lines"
     key = "listen"
+    full = lines.FULL
 
     def prober(self) -> tuple[Ask, Callable[[], None]]:
         prober = lines.Prober(self._dial)
@@ -306,7 +335,7 @@
                     return
                 if sockets.text(line) != "PING":
                     break
-                sockets.write(sock, [lines.FULL if self.away else lines.PONG])
+                sockets.write(sock, [lines.PONG if self.says_yes() else lines.FULL])
             else:
                 raise lines.MalformedError("PING and nothing else")
             asked, head = lines.parse_open(line)
@@ -319,7 +348,7 @@
         if not self._admits(sock):
             self._turn_away(sock, lines.FULL)
             return
-        live(self.house, lines.LineDownstream(sock, reader, asked, head), asked)
+        live(self.context, lines.LineDownstream(sock, reader, asked, head), asked)
 
 
 class _Names:
@@ -346,22 +375,27 @@
 
     name = "nats"
     key = "nats.listen"
+    full = nats.error(nats.FULL)
     before_tls = staticmethod(nats.read_info)
 
     def host_drains(self, name: str) -> None:
         """A host that has no check is asked for its INFO until it drains no more: no list may ever tell."""
         super().host_drains(name)
-        if name not in self.config.checks and self._watched.add_new(name):
-            threading.Thread(target=self._look_again, args=(name,), name="ldm " + name, daemon=True).start()
+        if name not in self.config.checks and self._watched.add_new(name) \
+                and not threads.start("ldm " + name, partial(self._look_again, name)):
+            self.counters.add("no_thread")  # whoever hears of its drain next tries again
+            self._watched.discard(name)
 
     def _look_again(self, name: str) -> None:
-        while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
-            if self.stopped.wait(LOOK_AGAIN.total_seconds()):
-                return
-            if nats.drains_no_more(self._dial, host, self.config.probe_within):
-                self.decisions.opine(name, takes_work=True)
-                break
-        self._watched.discard(name)
+        try:
+            while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
+                if self.stopped.wait(LOOK_AGAIN.total_seconds()):
+                    return
+                if nats.drains_no_more(self._dial, host, self.config.probe_within):
+                    self.decisions.set_opinion(name, takes_work=True)
+                    break
+        finally:
+            self._watched.discard(name)
 
     def __init__(self, config: NatsConfig, counters: Counters, tracing: Tracing | None = None) -> None:
         self._watched = _Names()
@@ -397,4 +431,4 @@
             self._turn_away(sock, nats.error(nats.FULL))
         elif got is not None:
             asked, connect, verbose = got
-            live(self.house, nats.NatsDownstream(sock, reader, self.greeting, asked, connect, verbose), asked)
+            live(self.context, nats.NatsDownstream(sock, reader, self.greeting, asked, connect, verbose), asked)
--- a/bramblestile/sockets.py
+++ b/bramblestile/sockets.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import contextlib
+import errno
+import os
 import select
 import socket
 import struct
 from collections.abc import Sequence
 from datetime import timedelta
+from typing import Any
 
 from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
 
@@ -16,6 +19,8 @@
 WRITE_BOUND = timedelta(seconds=3)  # a peer that reads nothing for so long is given up
 LINGER = timedelta(milliseconds=250)  # after our last word, for what the peer still sends
 MOST_UNREAD = 1 << 20  # bytes of a closing peer's that are read and dropped
+# What a process may run out of, whoever it wants to reach: descriptors, memory, ports.
+OURS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN}
 _WASTE = bytearray(65536)  # where they go, for all threads alike: nobody looks at it
 _NO_LINGER = struct.pack("ii", 1, 0)
 
@@ -83,11 +88,44 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _timeval(WRITE_BOUND))
 
 
-def dial(address: Address, within: timedelta) -> socket.socket:
-    """A connection made within the span, or OSError."""
-    sock = socket.create_connection(address, timeout=max(within, MICROSECOND * 1000).total_seconds())
-    tune(sock)
-    return sock
+def dial(address: Address, within: timedelta, beside: socket.socket | None = None) -> socket.socket:
+    """A connection made within the span, or OSError; InterruptedError when ``beside`` ends first. What we ourselves
+    lack for it is a NotDialledError, as it says nothing of the other side."""
+    until = now() + max(within, MICROSECOND * 1000)
+    failed: OSError = TimeoutError("nobody is there")
+    for family, kind, proto, _, at in socket.getaddrinfo(*address, type=socket.SOCK_STREAM):
+        sock = None
+        try:
+            sock = socket.socket(family, kind, proto)
+            _connect(sock, at, until, beside)
+            tune(sock)
+            return sock
+        except OSError as error:
+            if sock is not None:
+                sock.close()
+            if error.errno in OURS:
+                raise NotDialledError(str(error), spared=True) from None
+            if isinstance(error, InterruptedError):
+                raise
+            failed = error
+    raise failed
+
+
+def _connect(sock: socket.socket, at: Any, until: timedelta, beside: socket.socket | None) -> None:
+    sock.setblocking(False)
+    code = sock.connect_ex(at)
+    if code == errno.EINPROGRESS:
+        sides: list[tuple[Side, int]] = [(sock, select.POLLOUT)]
+        if beside is not None:
+            sides.append((beside, select.POLLRDHUP))
+        ready = wait(*sides, within=max(until - now(), NOTHING))
+        if ready is None:
+            raise TimeoutError("not up in time")
+        if ready is beside:
+            raise InterruptedError("nobody waits for it any more")
+        code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if code:
+        raise OSError(code, os.strerror(code))
 
 
 def write(sock: Side, parts: Sequence[bytes | memoryview]) -> None:
@@ -142,15 +180,21 @@
         else:
             wake(sock, socket.SHUT_WR)
             sock.setblocking(False)
-            until = now() + linger
-            for _ in range(MOST_UNREAD // len(_WASTE)):
-                if linger and wait((sock, READABLE), within=max(until - now(), NOTHING)) is None:
-                    break
-                if not sock.recv_into(_WASTE):
-                    break
+            drop_unread(sock, linger)
     sock.close()
 
 
+def drop_unread(sock: socket.socket, linger: timedelta = NOTHING) -> None:
+    """Reads what lies there, and what comes within ``linger``, for nobody. The socket must not block."""
+    until = now() + linger
+    with contextlib.suppress(OSError):
+        for _ in range(MOST_UNREAD // len(_WASTE)):
+            if linger and wait((sock, READABLE), within=max(until - now(), NOTHING)) is None:
+                break
+            if not sock.recv_into(_WASTE):
+                break
+
+
 def last_word(sock: socket.socket, line: bytes) -> None:
     """A local reply, then the end."""
     try:
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -35,7 +35,7 @@
     takes_work, share = None, None
     for word in line.partition("#")[0].replace(",", " ").lower().split():
         if word.endswith("%") and word.isascii() and word[:-1].isdigit():
-            share = min(1.0, int(word[:-1]) / 100)
+            share = min(100, int(word[:-1])) / 100  # in this order: no float holds what some words hold
         elif word in TAKES_WORK and takes_work is not False:
             takes_work = TAKES_WORK[word]  # of 'ready down' the worse counts
     if share == 0:
--- a/bramblestile/wire/checks.py
+++ b/bramblestile/wire/checks.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable, Mapping
 from datetime import timedelta
 
+from bramblestile import threads
+from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
 from bramblestile.wire import agent
 from bramblestile.wire.agent import Check, Opinion
@@ -30,7 +32,9 @@
 
     def _run(self, name: str, check: Check) -> None:
         failed, sound, down = 0, 0, False
-        while not self._stopped.is_set():
+
+        def turn() -> bool:
+            nonlocal failed, sound, down
             try:
                 opinion = agent.ask(check, min(WITHIN, self._every))
                 failed, sound = 0, sound + 1
@@ -47,7 +51,9 @@
                 if failed >= FALL and not down:
                     down = True
                     self._tell(name, Opinion(takes_work=False))
-            self._stopped.wait(self._every.total_seconds())
+            return not self._stopped.wait(self._every.total_seconds())
+
+        threads.forever(turn, self._counters, Log(part="checks", host=name))
 
     def stop(self) -> None:
         self._stopped.set()
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -4,6 +4,8 @@
 
 import socket
 from abc import ABC, abstractmethod
+from collections.abc import Iterator
+from contextlib import contextmanager
 from datetime import timedelta
 
 from bramblestile import sockets
@@ -43,7 +45,9 @@
                          may_send: CanSend) -> Answer:
         """Dials and asks; the connection is closed unless the answer keeps it."""
         try:
-            upstream = dial(min(connect_within, until - now()), until)
+            upstream = dial(min(connect_within, until - now()), until, self._sock)
+        except InterruptedError:
+            return LEFT
         except sockets.NotDialledError as error:
             return NotUp(Status.NOT_SENT if error.spared else Status.NO_ROUTE, detail=str(error))
         except OSError:
@@ -52,13 +56,27 @@
         try:
             answer = self._ask(upstream, until, may_send)
             return answer
+        except OSError as error:  # whatever broke, the client is owed its answer; what went up may have run
+            return NotUp(Status.CUT, detail=str(error))
         finally:
             if not isinstance(answer, Up):
                 sockets.close(upstream)
             elif isinstance(upstream, sockets.Channel):
                 upstream.setblocking(True)
 
+    @contextmanager
+    def _sending(self, may_send: CanSend) -> Iterator[NotUp | None]:
+        """Around an attempt's first bytes: why they must not go, if so. Both are asked here, at the last instant: while
+        we dialled the host may have begun to drain, and the downstream may have left, as an attempt that begins over
+        0.1 s after it did is one too many."""
+        with may_send() as allowed:
+            yield LEFT if self.has_left() else None if allowed else NotUp(Status.NO_ROUTE)
 
-def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
+
+LEFT = NotUp(Status.CANCELLED, downstream_left=True)
+
+
+def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta,
+          beside: socket.socket | None = None) -> Side:
     """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
-    return sockets.dial(host.address, connect_within)
+    return sockets.dial(host.address, connect_within, beside)
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -10,16 +10,18 @@
 from string import hexdigits
 from typing import Any
 
-from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile import sockets, threads
+from bramblestile.clock import MICROSECOND, NOTHING, now
+from bramblestile.log import Log
 from bramblestile.memory.cluster import UpstreamHost
+from bramblestile.memory.counters import Counters
 from bramblestile.sockets import Address, LineReader, text
+from vanegw.asking import Pace
 from vanegw.interface import ListMode, State
 
 STATES = {"in_service": State.RUNNING, "terminating": State.DRAINING, "terminated": State.GONE}
 LARGEST = 4 << 20  # bytes of one answer
-WATCH_WAIT = timedelta(seconds=8)  # a dead discovery is noticed this much and SLACK later
-SLACK = timedelta(seconds=2)  # discovery may take so long over its answer beyond the wait
+LONGEST_NAME = 253  # letters of a host's name: 255 octets with the lengths of its labels (RFC 1035)
 
 
 class BadAnswerError(Exception):
@@ -30,7 +32,11 @@
     host, colon, port = value.rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ValueError(f"{value!r} is not HOST:PORT")
-    return host.strip("[]"), int(port)
+    host = host.strip("[]")
+    if len(host) > LONGEST_NAME:
+        raise ValueError(f"a name of {len(host)} letters is no host's")
+    host.encode("idna")  # the resolver does so, and its UnicodeError, which is a ValueError, would be no OSError there
+    return host, int(port)
 
 
 def hosts(entries: Any) -> list[UpstreamHost]:
@@ -47,8 +53,8 @@
                 weight=float(entry.get("share", 1.0)), state=STATES[entry["health"]],
                 born=timedelta(milliseconds=born) if born else None,
                 tls_name=str(entry.get("tls_name") or "")))
-        except (AttributeError, KeyError, TypeError, ValueError) as error:
-            raise ValueError(f"entry {entry!r}: {error!r}") from None
+        except (AttributeError, KeyError, TypeError, ValueError, ArithmeticError) as error:
+            raise ValueError(f"entry {entry!r:.200}: {error!r}") from None
     return found
 
 
@@ -57,15 +63,16 @@
         got = json.loads(body)
         mode = ListMode.COMPLETE if got["whole"] else ListMode.CHANGES
         return int(got["seq"]), mode, hosts(got["hosts"])
-    except (ValueError, KeyError, TypeError) as error:
+    except (ValueError, KeyError, TypeError, ArithmeticError, RecursionError) as error:
         raise BadAnswerError(str(error)) from None
 
 
 class HttpCaller:
     """Calls one after the other over a connection that is kept while the other side keeps it."""
 
-    def __init__(self, to: Address) -> None:
+    def __init__(self, to: Address, connect_within: timedelta) -> None:
         self._to = to
+        self._connect_within = connect_within
         self._sock: socket.socket | None = None
         self._reader: LineReader | None = None
         self._ended = False
@@ -80,7 +87,7 @@
             self.close()
             if not kept:
                 raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.OverlongError):
+        except Exception:  # of any kind: what follows on this connection could be anything
             self.close()
             raise
         try:  # the kept connection had gone stale: once more on a new one
@@ -88,7 +95,7 @@
         except EOFError:
             self.close()
             raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.OverlongError):
+        except Exception:  # of any kind: what follows on this connection could be anything
             self.close()
             raise
 
@@ -96,7 +103,7 @@
         if self._ended:
             raise ConnectionAbortedError("stopped")
         if self._sock is None:
-            self._sock = sockets.dial(self._to, min(until - now(), SLACK))
+            self._sock = sockets.dial(self._to, min(until - now(), self._connect_within))
             self._reader = LineReader(self._sock, 16384)
         reader = self._reader
         assert reader is not None
@@ -144,15 +151,15 @@
 def _read_head(reader: LineReader, until: timedelta) -> tuple[int, int, bool, bool]:
     """Status, length, whether the connection stays, whether the body comes in chunks."""
     words = text(_line(reader, until)).split(" ")
-    if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
-        raise BadAnswerError(f"not HTTP/1.1: {words[:2]}")
+    if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit() or len(words[1]) != 3:
+        raise BadAnswerError(f"not HTTP/1.1: {words[:2]!r:.80}")
     length, keep, chunked = 0, words[0] == "HTTP/1.1", False
     while line := text(_line(reader, until)):
         name, _, value = line.partition(":")
         name, value = name.strip().lower(), value.strip().lower()
         if name == "content-length":
-            if not value.isdigit() or int(value) > LARGEST:
-                raise BadAnswerError(f"content-length {value!r}")
+            if not value.isdigit() or len(value) > 8 or int(value) > LARGEST:
+                raise BadAnswerError(f"content-length {value!r:.40}")
             length = int(value)
         elif name == "connection" and value == "close":
             keep = False
@@ -186,20 +193,26 @@
 class Watch:
     """Watches the list from the first time it is asked to, and again each time it has failed and is asked.
 
-    When to ask again is the module's choice; between two calls of one watch there is no pause, because a
-    call that comes later than 200 ms starts a new watch.
+    When to ask again is the module's choice, and how long a call may take is ``pace``; between two calls of one watch
+    there is no pause, because a call that comes later than 200 ms starts a new watch. Whatever discovery answers, this
+    thread lives: without it no change of the list is ever heard again.
     """
 
     def __init__(self, discovery: Address, version: int | None,
                  tell: Callable[[ListMode, Sequence[UpstreamHost]], None],
-                 log: Callable[[str], None]) -> None:
-        self._caller = self._version_from = HttpCaller(discovery)
+                 log: Callable[[str], None], pace: Pace, counters: Counters) -> None:
+        self.pace = pace
+        self._caller = self._version_from = self._call(discovery)
         self.version = version  # None: nothing is held of this discovery's, so the whole list is asked for
         self._tell = tell
         self._log = log
+        self._counters = counters
         self._wanted = threading.Event()
         self._stopped = threading.Event()
 
+    def _call(self, discovery: Address) -> HttpCaller:
+        return HttpCaller(discovery, MICROSECOND * self.pace.answer)
+
     def start(self) -> None:
         threading.Thread(target=self._run, name="watch", daemon=True).start()
 
@@ -209,27 +222,31 @@
     def follow(self, discovery: Address) -> None:
         """Another discovery from now on. The call that waits at the old one is ended, nothing new goes there,
         and the new one is asked at once: what it has to tell may count as told any moment."""
-        old, self._caller = self._caller, HttpCaller(discovery)
+        old, self._caller = self._caller, self._call(discovery)
         self._wanted.set()
         old.wake()
 
     def _run(self) -> None:
-        while True:
-            self._wanted.wait()
-            self._wanted.clear()
-            if self._stopped.is_set():
-                return
-            caller = self._caller
-            if caller is not self._version_from:  # another's versions mean nothing to it
-                self._version_from.close()
-                self._version_from, self.version = caller, None
-            try:
-                while caller is self._caller:
-                    self.once(caller)
-            except (OSError, BadAnswerError, sockets.OverlongError) as error:
-                if caller is self._caller:
-                    self._log(f"discovery: {error!r}")
-                    self._tell(ListMode.UNAVAILABLE, ())
+        threads.forever(self._watch, self._counters, Log(part="watch"))
+
+    def _watch(self) -> bool:
+        """From the moment it is asked to until a call fails."""
+        self._wanted.wait()
+        self._wanted.clear()
+        if self._stopped.is_set():
+            return False
+        caller = self._caller
+        if caller is not self._version_from:  # another's versions mean nothing to it
+            self._version_from.close()
+            self._version_from, self.version = caller, None
+        try:
+            while caller is self._caller:
+                self.once(caller)
+        except Exception as error:  # of any kind: it costs this answer, and the module is told to ask again
+            if caller is self._caller and not self._stopped.is_set():
+                self._log(f"discovery: {error!r:.300}")
+                self._tell(ListMode.UNAVAILABLE, ())
+        return True
 
     def stop(self) -> None:
         """No further call is made; one that waits is ended."""
@@ -238,14 +255,25 @@
         self._caller.wake()
 
     def once(self, caller: HttpCaller) -> None:
-        path = "/v1/servers"
-        if self.version is not None:
-            path += f"?since={self.version}&timeout_ms={WATCH_WAIT // timedelta(milliseconds=1)}"
-        status, body = caller.get(path, WATCH_WAIT + SLACK)
+        try:
+            status, body = self._ask(caller, self.pace.hold)
+        except TimeoutError:
+            if self.version is None:
+                raise
+            # Silence: it is opened anew at once, by a call that is not held. The module's pause is for those who fail
+            # together; watches fall silent together too, but each of us gives up in its own time.
+            status, body = self._ask(caller, 1000)
         if status != 200:
             raise BadAnswerError(f"status {status}")
         version, mode, changed = read_list(body)
         if caller is not self._caller:
             return  # an answer of the old one that came while we were told of the new one
-        self.version = version
         self._tell(mode, changed)
+        self.version = version  # only now: what was not taken is asked for again
+
+    def _ask(self, caller: HttpCaller, hold: int) -> tuple[int, bytes]:
+        path, within = "/v1/servers", self.pace.answer
+        if self.version is not None:
+            path += f"?since={self.version}&timeout_ms={hold // 1000}"
+            within += hold
+        return caller.get(path, MICROSECOND * within)
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -12,9 +12,9 @@
 from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Kind, Message, Standing
+from bramblestile.memory.connections import Connection, Kind, Message
 from bramblestile.sockets import LineReader, Side, text
-from bramblestile.wire.common import SocketDownstream, plain
+from bramblestile.wire.common import LEFT, SocketDownstream, plain
 from vanegw.interface import Report, Status
 
 LONGEST = 4096  # bytes of one line with its ending
@@ -174,9 +174,9 @@
         # A bound connection's line goes as it came: the host knows it by what it was.
         bound = self._asked.bound_to is not None
         try:
-            with may_send() as allowed:
-                if not allowed:  # a host that began to drain while we dialled must not get the request
-                    return NotUp(Status.NO_ROUTE)
+            with self._sending(may_send) as not_sent:
+                if not_sent is not None:
+                    return not_sent
                 sockets.write(upstream, [self._head.line] if bound else self._head.parts(until - now()))
         except OSError:
             return NotUp(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
@@ -186,7 +186,7 @@
         except TimeoutError:
             return NotUp(Status.TIMED_OUT)
         except InterruptedError:
-            return NotUp(Status.CANCELLED, downstream_left=True)
+            return LEFT
         except (OSError, sockets.OverlongError):
             return NotUp(Status.CUT)
         if line is None:
@@ -194,13 +194,14 @@
         word = text(line).partition(" ")[0]
         if word != "UP":
             return NotUp(OUTCOMES.get(word, Status.ERROR), host_drains=word == "MOVE")
-        return Up(standing(self._asked.id, "", self._sock, upstream, self._reader.rest(), bytes(line) + reader.rest()))
+        first_up, first_down = self._reader.rest(), bytes(line) + reader.rest()
+        return Up(connection(self._asked.id, "", self._sock, upstream, first_up, first_down))
 
 
-def standing(name: str, host: str, downstream: socket.socket, upstream: Side, first_up: bytes,
-             first_down: bytes) -> Standing:
+def connection(name: str, host: str, downstream: socket.socket, upstream: Side, first_up: bytes,
+               first_down: bytes) -> Connection:
     """A connection of this protocol that is up. The framers keep nothing between two reads."""
-    return Standing(name, host, downstream, upstream, MOVE, LineFramer(FROM_UPSTREAM, Kind.ANSWER), PlainFramer(),
+    return Connection(name, host, downstream, upstream, MOVE, LineFramer(FROM_UPSTREAM, Kind.ANSWER), PlainFramer(),
                     first_up=first_up, first_down=first_down)
 
 
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -19,12 +19,13 @@
 from bramblestile.clock import NOTHING, milliseconds, now
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Kind, Message, Standing, ViolationError
+from bramblestile.memory.connections import Connection, Kind, Message, ViolationError
 from bramblestile.sockets import Address, LineReader, Side, text
-from bramblestile.wire.common import MOST_PINGS, SocketDownstream, plain
+from bramblestile.wire.common import LEFT, MOST_PINGS, SocketDownstream, plain
 from vanegw.interface import Report, Status
 
 LONGEST = 4096  # bytes of one control line with its ending
+MOST_DIGITS = 18  # of a size: more than any payload, and far from where ``int`` gives up (4,300)
 PAYLOADS = (b"PUB", b"HPUB", b"MSG", b"HMSG")  # their last word is the size of what follows
 CONNECT_WITHIN = timedelta(seconds=2)  # for the client's CONNECT, as common servers have it
 PING, PONG, OK = b"PING\r\n", b"PONG\r\n", b"+OK\r\n"
@@ -107,10 +108,10 @@
         user = greeting.users.get(str(options.get("user")), greeting.default)
         name = options.get("name")
         verbose = bool(options.get("verbose"))
-    except (ValueError, AttributeError):
+    except (ValueError, AttributeError, RecursionError):
         raise RefusedError(PARSER) from None
     # Clients of one name work on the same collection: they are a group to the module.
-    tag = blake2b(name.encode(), digest_size=6).digest() if isinstance(name, str) else None
+    tag = blake2b(name.encode(errors="surrogatepass"), digest_size=6).digest() if isinstance(name, str) else None
     group = int.from_bytes(tag, "big") if tag else None
     asked = Asked(uuid.uuid4().hex, user.cls, waits[user.cls], user.tenant, group=group)
     return asked, bytes(line), verbose
@@ -120,7 +121,7 @@
     try:
         said = json.loads(info.partition(b" ")[2])
         return isinstance(said, dict) and said.get("ldm") is True
-    except ValueError:
+    except (ValueError, RecursionError):
         return False
 
 
@@ -190,7 +191,7 @@
         words = line.split()
         word = words[0].upper() if words else b""
         if word in PAYLOADS:
-            if not words[-1].isdigit():
+            if not words[-1].isdigit() or len(words[-1]) > MOST_DIGITS:
                 if self._max_payload is not None:
                     raise ViolationError(PARSER)
                 return Message(Kind.OTHER)
@@ -232,7 +233,7 @@
             except TimeoutError:
                 return NotUp(Status.TIMED_OUT if sent else Status.NO_ROUTE)
             except InterruptedError:
-                return NotUp(Status.CANCELLED, downstream_left=True)
+                return LEFT
             except (OSError, sockets.OverlongError):
                 line = None
             if line is None:
@@ -244,9 +245,9 @@
                     return NotUp(Status.CANCELLED if sent else Status.NO_ROOM, host_drains=True)
                 if not sent:
                     try:
-                        with may_send() as allowed:
-                            if not allowed:
-                                return NotUp(Status.NO_ROUTE)
+                        with self._sending(may_send) as not_sent:
+                            if not_sent is not None:
+                                return not_sent
                             sockets.write(upstream, [self._connect, PING])
                     except OSError:
                         return NotUp(Status.NO_ROUTE)
@@ -254,15 +255,18 @@
             elif word == b"-ERR":
                 return NotUp(error_status(said))
             elif word == b"PING":
-                sockets.write(upstream, [PONG])  # the host measures its way; the client is not there yet
+                try:
+                    sockets.write(upstream, [PONG])  # the host measures its way; the client is not there yet
+                except OSError:
+                    return NotUp(Status.CUT if sent else Status.NO_ROUTE)
             elif word == b"PONG" and sent:
-                return Up(self._standing(upstream, reader))
+                return Up(self._connection(upstream, reader))
             elif word != b"+OK":
                 return NotUp(Status.ERROR)
 
-    def _standing(self, upstream: Side, reader: LineReader) -> Standing:
+    def _connection(self, upstream: Side, reader: LineReader) -> Connection:
         greeting = self._greeting
-        return Standing(
+        return Connection(
             self._asked.id, "", self._sock, upstream, greeting.info(ldm=True),
             NatsFramer({b"PONG": Kind.ANSWER}), NatsFramer({b"PING": Kind.ASK}, greeting.max_payload),
             first_up=self._reader.rest(), first_down=(OK if self._verbose else b"") + reader.rest(),
--- a/bramblestile/work/office.py
+++ b/bramblestile/work/office.py
@@ -21,6 +21,7 @@
 
 import msgspec
 
+from bramblestile import threads
 from bramblestile.clock import MICROSECOND, NOTHING, now
 from bramblestile.fleet.gossip import Gossip
 from bramblestile.fleet.messages import State
@@ -172,8 +173,7 @@
                 self._turn()
             except Exception:
                 # A fault of ours must not end what other balancers' leases count on.
-                self._counters.add("faults")
-                self._log.exception("fault")
+                threads.note_fault(self._counters, self._log)
                 time.sleep(TICK.total_seconds())
 
     def _turn(self) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -96,7 +96,7 @@
 
     def __init__(self, wire: str = "lines", hosts: int = 1, discovery: socket.socket | None = None,
                  check: str | None = None, sockets: int = 1024, tls: dict[str, Any] | None = None,
-                 **limits: Any) -> None:
+                 membership: str = "on_request", **limits: Any) -> None:
         self.wire, _, self.tls = wire.partition("+")
         self.servers: dict[str, ssl.SSLContext] = {}  # a host's own, in place of the common authority's
         self.listening = {f"b{n}": socket.create_server(("127.0.0.1", 0)) for n in range(hosts)}
@@ -109,7 +109,7 @@
             "known": {"seq": 1, "hosts": [self.entry(name) for name in self.listening]},
             "settings": {
                 "classes": [{"name": "feed", **CLASS}, {"name": "once", "effect": "unsafe", **CLASS}],
-                "membership_mode": "on_request", "domain": {"message_aim_us": aims},
+                "membership_mode": membership, "domain": {"message_aim_us": aims},
                 "report": {"how": "probe", "names": ["x0"]},
                 "rules": {"cold_from": 0.13, "cold_us": 21_000_000, "fall_multiple": 4.0,
                           "fall_us": 3_000_000},
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -5,13 +5,15 @@
 import socket
 from collections.abc import Callable
 from dataclasses import replace
+from datetime import timedelta
 
 import pytest
 
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.process import config
 from bramblestile.process.daemon import Daemon
-from bramblestile.wire.agent import Opinion, parse_agent
+from bramblestile.wire import agent
+from bramblestile.wire.agent import Check, Opinion, parse_agent
 from tests.scenario import Peer, Stage
 from tests.test_process import SETTINGS
 from vanegw.interface import ListMode, State
@@ -25,6 +27,7 @@
     ("up ready 75%", Opinion(True, 0.75)), ("drain", Opinion(False)), ("0%", Opinion(False)),
     ("ready,down", Opinion(False)), ("down ready", Opinion(False)), ("maxconn:30 150%", Opinion(None, 1.0)),
     ("up # drain", Opinion(True)), ("", Opinion()), ("\u00b2% what", Opinion()),
+    ("9" * 4000 + "%", Opinion(None, 1.0)),  # seen by reading: over 308 digits ended the thread that checks, for good
 ])
 def test_the_words_of_an_agent(line: str, opinion: Opinion) -> None:
     assert parse_agent(line) == opinion
@@ -45,6 +48,19 @@
     Stage(wire, check=check).play(script)
 
 
+def test_a_fault_of_ours_in_a_check_costs_that_check_and_never_the_thread(monkeypatch: pytest.MonkeyPatch) -> None:
+    says: list[Opinion | Exception] = [UnicodeError("a fault of ours"), Opinion(False)]
+
+    def ask(check: Check, within: timedelta) -> Opinion:
+        said = says.pop(0) if says else Opinion()
+        if isinstance(said, Exception):
+            raise said
+        return said
+
+    monkeypatch.setattr(agent, "ask", ask)
+    Stage(check="agent").play("wait faults 1\nwait checks_changed_a_host 1\nc1 ask\nc1 refused")
+
+
 def test_what_is_said_of_the_balancer() -> None:
     listed = [{"host": n, "dial": "127.0.0.1:1", "health": "in_service"} for n in ("a", "b")]
     daemon = Daemon(config.read({
@@ -64,18 +80,19 @@
         return said("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
 
     assert said("agent_check") == "up ready 100%"
-    daemon.fronts[0].decisions.opine("a", takes_work=False)
+    daemon.fronts[0].decisions.set_opinion("a", takes_work=False)
     assert (said("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
     assert (http("/other"), http("/live", "POST")) == ("404 Not Found", "405 Method Not Allowed")
     assert said("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
-    daemon.fronts[0].decisions.opine("b", takes_work=False)
+    daemon.fronts[0].decisions.set_opinion("b", takes_work=False)
     assert (said("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
     daemon.leaving = True
     assert (said("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
 
 
 @pytest.mark.parametrize(("say", "kept"), [
-    (lambda cluster: cluster.drains("a"), State.RUNNING), (lambda cluster: cluster.opine("a", False), State.DRAINING),
+    (lambda cluster: cluster.drains("a"), State.RUNNING),
+    (lambda cluster: cluster.set_opinion("a", False), State.DRAINING),
     (lambda cluster: cluster.close("a", True), State.CLOSED)])
 def test_a_host_in_service_again_keeps_what_others_said_of_it(say: Callable[[Cluster], object], kept: State) -> None:
     # A check says once that a host is down, and a certificate is refused once: were these dropped with the host's own
--- a/tests/test_standing.py
+++ b/tests/test_connections.py
@@ -10,20 +10,21 @@
 import pytest
 
 from bramblestile.memory import connections
-from bramblestile.memory.connections import Connections, Delays, Kind, Message, Standing
+from bramblestile.memory.connections import STALLED, Connection, Connections, Delays, Kind, Message
 from bramblestile.wire import lines
+from bramblestile.wire.nats import NatsFramer
 
 
 class Hears:
     def __init__(self) -> None:
         self.drained: list[str] = []
 
-    def load(self, standing: Standing, value: float) -> None: ...
+    def load(self, connection: Connection, value: float) -> None: ...
 
-    def delay(self, standing: Standing, delay: timedelta) -> None: ...
+    def delay(self, connection: Connection, delay: timedelta) -> None: ...
 
-    def drains(self, standing: Standing) -> None:
-        self.drained.append(standing.host)
+    def drains(self, connection: Connection) -> None:
+        self.drained.append(connection.host)
 
 
 @pytest.mark.parametrize(("ended", "drains"), [
@@ -32,11 +33,11 @@
     """Seen: a host answers the end of a moved connection with MOVE. Read before our end was, it took the host out for
     good: after a balancer was drained, two of five hosts, the large ones, got nothing more."""
     with socket.socket() as down, socket.socket() as up:
-        standing = lines.standing("1", "a", down, up, b"", b"")
+        connection = lines.connection("1", "a", down, up, b"", b"")
         if ended:
-            setattr(standing, ended, True)
+            setattr(connection, ended, True)
         heard = Hears()
-        standing._hear([Message(Kind.AWAY)], heard)
+        connection._hear([Message(Kind.AWAY)], heard)
         assert heard.drained == drains
 
 
@@ -45,14 +46,14 @@
     down, client = socket.socketpair()
     up, host = socket.socketpair()
     with down, client, up, host:
-        standing = lines.standing("1", "a", down, up, b"", b"UP r\r\n")
-        with standing.lock:  # its writer waits for the reader
+        connection = lines.connection("1", "a", down, up, b"", b"UP r\r\n")
+        with connection.lock:  # its writer waits for the reader
             began = time.monotonic()
-            assert standing.move(timedelta(milliseconds=10)) and time.monotonic() - began < 0.4
-            assert standing.move_wanted and not standing.moved
+            assert connection.move(timedelta(milliseconds=10)) and time.monotonic() - began < 0.4
+            assert connection.move_wanted and not connection.moved
         host.sendall(b"a line\r\n")
-        standing.carry(Hears())
-        assert client.recv(100) == b"UP r\r\nMOVE\r\n" and standing.moved
+        connection.carry(Hears())
+        assert client.recv(100) == b"UP r\r\nMOVE\r\n" and connection.moved
 
 
 MS = timedelta(milliseconds=1)
@@ -71,10 +72,27 @@
     return Clock(monkeypatch)
 
 
+@pytest.mark.parametrize(("comes", "ended"), [(True, False), (False, True)])
+def test_a_move_waits_for_a_message_as_long_as_it_still_comes(clock: Clock, comes: bool, ended: bool) -> None:
+    """Guards against a cut inside a large message that is only slow."""
+    down, client = socket.socketpair()
+    with down, client, socket.socket() as up:
+        connection = Connection("1", "a", down, up, b"INFO\r\n", NatsFramer({}), NatsFramer({}))
+        for part in range(4):
+            if comes or not part:
+                data = memoryview(b"MSG a 1 9000\r\n" if not part else b"x" * 1000)
+                passed, _ = connection.from_upstream.feed(data)
+                assert connection._write_down(data[:passed])
+            assert connection.move()
+            clock.at += STALLED - 1 * MS if comes else STALLED / 4
+            assert connection.end_stalled() == (ended and part == 3)
+        assert connection.moved == ended and b"INFO" not in client.recv(10_000)
+
+
 @pytest.fixture
-def three() -> Iterator[list[Standing]]:
+def three() -> Iterator[list[Connection]]:
     with socket.socket() as down, socket.socket() as up:
-        yield [lines.standing(str(number), "a", down, up, b"", b"") for number in range(3)]
+        yield [lines.connection(str(number), "a", down, up, b"", b"") for number in range(3)]
 
 
 class Noted:
@@ -83,14 +101,14 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.values: list[float] = []
-        self.delays = Delays(20 * MS, lambda standing, delay: self.values.append(delay / MS))
+        self.delays = Delays(20 * MS, lambda connection, delay: self.values.append(delay / MS))
 
-    def answer(self, standing: Standing, after: float, took: float) -> None:
+    def answer(self, connection: Connection, after: float, took: float) -> None:
         self.clock.at += after * MS
-        self.delays.seen(standing, took * MS)
+        self.delays.seen(connection, took * MS)
 
 
-def test_an_answer_that_comes_late_alone_is_no_delay_of_its_host(clock: Clock, three: list[Standing]) -> None:
+def test_an_answer_that_comes_late_alone_is_no_delay_of_its_host(clock: Clock, three: list[Connection]) -> None:
     """Seen: a connection that had fallen silent and went on answered 6 s late, and its host, at 8 ms, was emptied."""
     noted = Noted(clock)
     silent, well, _ = three
@@ -105,7 +123,7 @@
     assert noted.values == [499, 0]  # once more when it is back under
 
 
-def test_where_all_answers_come_late_the_host_is_slow(clock: Clock, three: list[Standing]) -> None:
+def test_where_all_answers_come_late_the_host_is_slow(clock: Clock, three: list[Connection]) -> None:
     noted = Noted(clock)
     for turn in range(6):
         noted.answer(three[turn % 3], 700, 1 if turn == 0 else 300)
@@ -121,14 +139,14 @@
         self.all = Connections(lambda one, _: self.silent.append(one.id),
                                lambda _, hush: self.hushed.append(hush / MS))
 
-    def look(self, held: list[Standing]) -> tuple[list[str], list[float]]:
+    def look(self, held: list[Connection]) -> tuple[list[str], list[float]]:
         self.silent.clear()
         self.hushed.clear()
         self.all._look_at(held)
         return self.silent, self.hushed
 
 
-def test_one_silent_connection_of_several_says_nothing_of_its_host(clock: Clock, three: list[Standing]) -> None:
+def test_one_silent_connection_of_several_says_nothing_of_its_host(clock: Clock, three: list[Connection]) -> None:
     """Seen: a host at a third of its load lost all it held, as one of three connections had fallen silent and the other
     two had nothing to ask for a second."""
     looks = Looks()
@@ -147,7 +165,7 @@
     assert looks.look(three) == (["0", "1"], [])
 
 
-def test_the_only_connection_of_a_host_stands_for_it(clock: Clock, three: list[Standing]) -> None:
+def test_the_only_connection_of_a_host_stands_for_it(clock: Clock, three: list[Connection]) -> None:
     looks = Looks()
     three[0].asked.append(clock.at)
     clock.at += 1200 * MS
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -26,7 +26,9 @@
     hosts = [api.Backend(f"b{n}", zone="z0", started_us=born if n < cold else None) for n in range(HOSTS)]
     made = []
     for seed in range(BALANCERS):
-        relay = Relay(SETTINGS, seed, born + age_us, loads)
+        relay = Relay(replace(SETTINGS, self_index=seed), seed, born - 1, loads)
+        relay.show(*hosts[cold:])  # they run since before: what a new process may send is another test's
+        relay.now = born + age_us
         relay.show(*hosts)
         made.append(relay)
     return made
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -34,6 +34,14 @@
     "c1 expect INFO *\nc1 send GET / HTTP/1.1\nc1 expect -ERR 'Unknown Protocol Operation'\nc1 ends\nb0 idle",
     "c1 expect INFO *\nc1 send CONNECT {half\nc1 expect -ERR 'Parser Error'\nwait bad_first_lines 1",
     "c1 expect INFO *\nc1 send CONNECT []\nc1 expect -ERR 'Parser Error'",
+    "c1 expect INFO *\nc1 send CONNECT " + "[" * 4000 + "\nc1 expect -ERR 'Parser Error'\nwait bad_first_lines 1",
+    # Half of a pair of surrogates: JSON, and no text that UTF-8 holds.
+    'c1 expect INFO *\nc1 send CONNECT {"name":"\\ud800"}\nc1 send PING\nb0 taken\nb0 up\nc1 served',
+    # A host's INFO that is nested too deeply says nothing of a drain.
+    "c1 ask\nb0 send INFO " + "[" * 9000 + "\nb0 expect CONNECT *\nb0 expect PING\nb0 up\nc1 served",
+    # A size that no integer takes: it is no size.
+    UP + "b0 send MSG a 1 " + "9" * 5000 + "\nc1 expect MSG a 1 9*\nc1 says\nb0 hears",
+    UP + "b0 send INFO " + "[" * 7000 + "\nc1 expect INFO [*\nc1 says\nb0 hears",
     "c1 expect INFO *\nc1 send CONNECT " + "x" * 5000 + "\nc1 expect -ERR 'Maximum Control Line Exceeded'",
     UP + "c1 send PUB a 101\nc1 expect -ERR 'Maximum Payload Violation'\nc1 ends\nb0 ends",
     UP + "c1 send PUB a many\nc1 expect -ERR 'Parser Error'\nc1 ends",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -38,7 +38,7 @@
                          (ListMode.CHANGES, A), (ListMode.CHANGES, replace(A, born=5 * S)),
                          (ListMode.CHANGES, replace(A, state=State.GONE)), (ListMode.COMPLETE, replace(A, born=9 * S))):
         cluster.apply(mode, [listed, B])
-        cluster.opine("a", takes_work=True)
+        cluster.set_opinion("a", takes_work=True)
         found = cluster.find("a")
         assert found is None or found.state in (State.CLOSED, State.DRAINING)
         with cluster.sending(replace(A, born=listed.born)) as allowed:
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -35,7 +35,7 @@
     one.handle(51 * S, api.ProbeResult("c", api.Status.TIMED_OUT, 500_000))
     for n in range(4):
         one.handle(51 * S + n, api.Request(f"r{n}", "feed", 3 * S))
-    one.warmed = [50 * S + 7]
+    one.backends["c"].warmed = [50 * S + 7]
     return one
 
 
@@ -56,11 +56,12 @@
 def test_sends_to_cold_hosts_of_both_count_and_are_counted_once() -> None:
     """Guards rule 4: two processes are one balancer, with one part of a cold host's budget."""
     one, other = seasoned(), balancer(*HOSTS)
-    other.warmed = [50 * S + 9]
+    other.handle(52 * S, api.ProbeResult("c", api.Status.SERVED, 1000, api.Report(load=0.1)))
+    other.backends["c"].warmed = [50 * S + 9]
     for _ in range(2):
         for part in told(one):
             passing.recall(other, part)
-    assert other.warmed == [50 * S + 7, 50 * S + 9]
+    assert other.backends["c"].warmed == [50 * S + 7, 50 * S + 9] and other.backends["c"].load == 0.1
 
 
 def test_a_host_that_has_started_anew_is_unknown_and_younger_figures_stand() -> None:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -86,5 +86,5 @@
 def test_a_flood_of_messages_that_nobody_answers_is_passed_on_and_not_kept(wire: str) -> None:
     stage = Stage(wire)
     stage.play(SERVED + "c1 raw " + "PING\\r\\n" * 500 + "\n" + "b0 expect PING\n" * 500)
-    (standing,) = stage.front.connections.all()
-    assert 0 < len(standing.asked) <= 64
+    (connection,) = stage.front.connections.all()
+    assert 0 < len(connection.asked) <= 64
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -103,6 +103,7 @@
     relay = Relay(replace(SETTINGS, classes=(replace(CLASS, effect=api.Effect.UNSAFE),)))
     relay.show(*fleet(5))
     assert [type(a) for a in relay.end(relay.place(), api.Status.TIMED_OUT)] == [api.Fail]
+    relay.balancer.lateness = 0.0  # or one arrival in twenty would be refused after the time-out
     first = relay.place()
     (again,) = only(relay.end(first, api.Status.NO_ROOM), api.Attempt)
     assert [type(a) for a in relay.end(again, api.Status.CUT, 1)] == [api.Fail]
@@ -124,12 +125,14 @@
 
 
 def test_keyed_is_not_repeated_after_its_memory() -> None:
-    relay = Relay(keyed(api.Scope.CELL))
-    relay.show(*fleet(6))
-    first = relay.place()
-    relay.now += 1_100_000
-    late = api.Outcome(first.id, 0, first.backend, api.Status.TIMED_OUT, 1_100_000, False)
-    assert [type(a) for a in relay.tell(late)] == [api.Fail]
+    for seed in range(40):  # with one seed it was failed by a chance of one in sixteen, as if all were late
+        relay = Relay(keyed(api.Scope.CELL), seed=seed)
+        relay.show(*fleet(6))
+        first = relay.place()
+        relay.now += 1_100_000
+        late = api.Outcome(first.id, 0, first.backend, api.Status.TIMED_OUT, 1_100_000, False)
+        out = relay.answer(relay.tell(late))
+        assert [type(a) for a in finals(out)] == [api.Fail] and not only(out, api.Attempt)
 
 
 # Rule 3: drains.
@@ -200,7 +203,8 @@
     relay = Relay(loads={"b0": 0.9, "b1": 0.5}, now=5)
     relay.show(*fleet(2))
     relay.request()
-    relay.show(api.Backend("b0", "z0", started_us=4), mode=api.ListMode.CHANGES)
+    relay.show(api.Backend("b0", "z0", started_us=relay.now), mode=api.ListMode.CHANGES)
+    relay.now += 1_000_000  # by then the first calls of its budget are due
     probes = only(relay.request(), api.Probe)
     assert [p.backend for p in probes] == ["b0"]
 
@@ -583,6 +587,7 @@
     relay = Relay(settings, loads={"b0": 0.1})
     relay.balancer = Witness(settings, 1)
     relay.show(*fleet(1, started_us=started))
+    relay.now += 1_000_000  # by then the first calls of its budget are due
     assert only(relay.request(tenant="a"), api.Attempt)
     assert relay.balancer.counted == counted
 
--- a/vanegw/__init__.py
+++ b/vanegw/__init__.py
@@ -1,4 +1,4 @@
-"""vanegw decides where a relay places long-lived connections. Start at ``vanegw.interface``."""
+"""vanegw decides where a balancer places long-lived connections. Start at ``vanegw.interface``."""
 
 from vanegw.rules import Balancer
 
--- a/vanegw/adapter.py
+++ b/vanegw/adapter.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One relay's balancer and the order of its load reports. Nothing of it is shared."""
+    """One balancer's balancer and the order of its load reports. Nothing of it is shared."""
 
     balancer: Balancer
     report_names: list[str]
--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -1,6 +1,6 @@
-"""What a relay and the balancer say to each other: settings, events and actions.
+"""What a balancer and its decisions say to each other: settings, events and actions.
 
-A relay builds one ``Balancer(settings, seed)`` (in ``vanegw.rules``), hands each event to
+A balancer builds one ``Balancer(settings, seed)`` (in ``vanegw.rules``), hands each event to
 ``Balancer.handle(now_us, event)`` and carries out the actions that come back, in order.
 Times are integer microseconds of one monotonic clock whose origin does not matter.
 """
@@ -66,7 +66,7 @@
 class NoteKind(Enum):
     """LOAD: the connection's load now (us of work a second). DELAY: ms a message takes at the backend.
     SILENCE: ms for which the backend has returned nothing on this connection, though it was asked to.
-    HUSH: the same, but on none of this relay's connections."""
+    HUSH: the same, but on none of this balancer's connections."""
 
     LOAD = 1
     DELAY = 2
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer: the open connections, over all relays, that its share pays for (0: not told)."""
+    """A customer: the open connections, over all balancers, that its share pays for (0: not told)."""
 
     name: str
     portion: float = 0.0
@@ -124,11 +124,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a relay is told at its start. Unset prices count as nothing."""
+    """All that a balancer is told at its start. Unset prices count as nothing."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1
+    self_index: int | None = None  # this balancer's number among them, from 0; None: not told
     zone: str = ""
     list_on_request: bool = False
     list_weights: bool = True
@@ -156,6 +157,8 @@
         names = [c.name for c in self.classes]
         _check(len(set(names)) == len(names), "classes", names)
         _at_least(self, 1, "balancers", "try_limit", "must_ask_in_us")
+        _check(self.self_index is None or (isinstance(self.self_index, int) and self.self_index >= 0), "self_index",
+               self.self_index)
         _at_least(self, 0, "max_retry_after_us", "over_share_worth", "cross_zone_price", "move_price",
                   "probe_price", "cold_us", "fall_multiple", "fall_us", "drain_grace_us")
         _check(_number(self.cold_from) and 0 < self.cold_from <= 1, "cold_from", self.cold_from)
@@ -188,7 +191,7 @@
     error_rate: float | None = None
 
 
-# Events: what happened at the relay.
+# Events: what happened at the balancer.
 
 
 @dataclass(slots=True, frozen=True)
@@ -217,7 +220,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Inherited:
-    """A connection that was open through this relay when the balancer started."""
+    """A connection that was open through this balancer when its decisions began."""
 
     request: Request
     backend: str
@@ -284,7 +287,7 @@
 Event = (BackendList | Request | Inherited | Opened | Note | Outcome | ClientGone | ProbeResult | TimerFired)
 
 
-# Actions: what the relay is to do.
+# Actions: what the balancer is to do.
 
 
 @dataclass(slots=True, frozen=True)
--- a/vanegw/passing.py
+++ b/vanegw/passing.py
@@ -17,7 +17,7 @@
 RECENT = 500  # times of requests told at most
 # All of a host's record but what is the list's, or this process's own connections and probes.
 FIGURES = tuple(f.name for f in fields(Known) if f.name not in ("info", "probed_at", "open", "tag"))
-OWN = ("average", "reports", "full", "lateness", "chance", "chance_at", "size")
+OWN = ("average", "reports", "full", "lateness", "size")
 
 
 def learned(balancer: Balancer) -> list[dict[str, Any]]:
@@ -25,9 +25,9 @@
     parts: list[dict[str, Any]] = [
         {"hosts": {name: {"started_us": known.info.started_us} | {f: getattr(known, f) for f in FIGURES}
                    for name, known in hosts[at:at + PART]}} for at in range(0, len(hosts), PART)]
-    # Own sends and the clients that came: those of the next process come on top.
+    # The clients that came: those of the next process come on top. ``warmed``: 0.2.0 of before asks for it here.
     own = {f: getattr(balancer, f) for f in OWN} | {
-        "warmed": balancer.warmed[-RECENT:], "arrivals": list(balancer.arrivals.items())[-RECENT:]}
+        "warmed": [], "arrivals": list(balancer.arrivals.items())[-RECENT:]}
     return [*parts, {"own": own}]
 
 
@@ -36,20 +36,24 @@
     ValueError, TypeError, KeyError or AttributeError where it is none; that host, and the rest, are not taken."""
     for name, told in part.get("hosts", {}).items():
         known = balancer.backends.get(name)
-        if known is None or told["started_us"] != known.info.started_us or told["load_at"] < known.load_at:
+        if known is None or told["started_us"] != known.info.started_us:
+            continue
+        # Two processes are one balancer, with one part of a cold host's budget, whoever's figures are the younger.
+        warmed = sorted({*_like(known.warmed, told.get("warmed", []), "warmed"), *known.warmed})
+        if told["load_at"] < known.load_at:
+            known.warmed = warmed
             continue
         figures = {f: _like(getattr(known, f), told[f], f) for f in FIGURES if f in told}
         figures["placed"] = sorted({*figures.get("placed", ()), *known.placed})
+        figures["warmed"] = warmed
         for figure, value in figures.items():
             setattr(known, figure, value)
     if "own" in part:
         told = part["own"]
         own = {f: _like(getattr(balancer, f), told[f], f) for f in OWN if f in told and not balancer.reports}
-        warmed = _like(balancer.warmed, told["warmed"], "warmed")
         arrivals = {who: _like(0, at, "arrivals") for who, at in told["arrivals"]}
         for figure, value in own.items():
             setattr(balancer, figure, value)
-        balancer.warmed = sorted({*warmed, *balancer.warmed})
         balancer.arrivals = Lately(sorted((arrivals | balancer.arrivals).items(), key=lambda one: one[1]))
         balancer.table_at = None  # the next draw goes by what is known now
 
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -13,6 +13,7 @@
 from heapq import nsmallest
 from random import Random
 
+from vanegw import asking, warming
 from vanegw import interface as api
 from vanegw.interface import ListMode, NoteKind, Scope, State, Status
 from vanegw.state import Flight, Known, Lately, closeness
@@ -26,7 +27,7 @@
 HOLD_SHARE = 1 / 8  # part of the set-up aim for which a request waits for its probes
 PATIENCE_SHARE = 1 / 3  # part of the set-up aim for an attempt while another may follow
 ZONE_AVERSION = 50.0  # weight of another zone is 1 / (1 + this x the price of crossing)
-PATIENCE_LATE = 4.0  # aims added to that, times the share of this relay's attempts that timed out of late
+PATIENCE_LATE = 4.0  # aims added to that, times the share of this balancer's attempts that timed out of late
 YOUNG_US = 4_000_000  # a connection that is cut within this of its start was shed
 REST_SHARE = 0.3  # about this part of the longest wait is what a refused client is told at least
 LATE_SPAN = 4  # attempts over which that share is remembered: a storm is over in seconds
@@ -48,20 +49,19 @@
 SHARE_SLACK = 1.1  # times its share that a tenant may hold even then
 MOVE_ROOM = 4.0  # moves slow down when less than one over this is free below FULL_LOAD
 MOVE_LEAST = 0.15  # but never below this part: a saturated backend that nobody leaves stays saturated
-ASK_SPREAD_US = 1_000_000  # first subscription within this time, to spread relays that start together
-ASK_DOUBLINGS = 2  # of that spread after failures: what is told meanwhile counts as heard after 6 s
 LOOK_EVERY_US = 2_000_000  # about so often a backend that holds connections is asked for its load
-FEW = 4  # relays: with more, each sees less, masks who errs for longer, and none goes on to hosts that shed
+FEW = 4  # balancers: with more, each sees less, masks who errs longer, and none goes on to hosts that shed
 REASK_US = 400_000  # a full backend is asked again so soon: it may have been full of our own guesses
 REPORT_AGE_US = 700_000  # a report is about so old when it comes: placements since then are not in it
 SIZE_FADES = 0.99  # with each news of the list: a release passes, a fleet that stays smaller counts as that
 LEAST_LOAD = 5e3  # microseconds of work a second: less is next to nothing, or a delay by the same word
 ASK, HOLD, LEFT, LOOK = "ask", "hold ", "left ", "look"  # what a timer is for
+MUTE_PROBES = (Status.TIMED_OUT, Status.NO_ROUTE, Status.CUT)
 FAILURES = (Status.ERROR, Status.NO_ROOM, Status.TIMED_OUT, Status.NO_ROUTE, Status.CUT)
 
 
 class Balancer:
-    """The decisions of one relay."""
+    """The decisions of one balancer."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.reconfigure(settings)
@@ -79,8 +79,9 @@
         self.size = 1.0  # of all backends together
         # When clients came, those who had stood before, and when own connections ended, in the last fresh_us.
         self.arrivals, self.returned, self.parted = Lately(), Lately(), Lately()
-        self.warmed: list[int] = []  # when this relay sent to cold backends, in the last fall_us
-        self.chance, self.chance_at = 0.0, -math.inf  # the part of a send that it may round up to
+        self.began: int | None = None  # when it heard of anything first
+        told = settings.self_index  # its place among the balancers; one drawn at random will do
+        self.place = Random(f"place {seed}").randrange(2**32) if told is None else told
         self.looking = False  # a timer for the next look is set
         self.held: Counter[str | None] = Counter()  # own standing connections of each tenant
         self.lateness = 0.0  # share of the latest attempts that timed out
@@ -102,8 +103,8 @@
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Takes one event and returns the actions it calls for, in order."""
-        self.now = now_us
-        self.actions = []
+        self.now, self.actions = now_us, []
+        self.began = now_us if self.began is None else self.began
         self.handlers[type(event)](event)
         return self.actions
 
@@ -112,7 +113,7 @@
     def _on_list(self, event: api.BackendList) -> None:
         if event.mode is ListMode.UNAVAILABLE:
             self.failed_asks += 1
-            self._ask_in(ASK_SPREAD_US * 2 ** min(self.failed_asks, ASK_DOUBLINGS))
+            self._ask_soon()
             return
         self.failed_asks = 0
         self.table_at = None  # the draw must never name a backend that is no longer listed
@@ -136,11 +137,11 @@
         # One that drains and its cold successor are one, not two. Shares are of the fleet when it is whole.
         self.size = max(running, warm, self.size * SIZE_FADES if self.quotas else 0.0) or 1.0
         if event.mode is ListMode.RESTORED and self.settings.list_on_request:
-            self._ask_in(ASK_SPREAD_US)
+            self._ask_soon()
 
-    def _ask_in(self, within_us: int) -> None:
-        """Relays that start or fail together must not ask together: the list serves few calls a second."""
-        self._timer(int(within_us * self.random.random()), ASK)
+    def _ask_soon(self) -> None:
+        """Balancers that start or fail together must not ask together: the list serves few calls a second."""
+        self._timer(int(asking.pace(self.settings).spread(self.failed_asks) * self.random.random()), ASK)
 
     # Requests.
 
@@ -156,7 +157,6 @@
         self.arrivals.add(who, self.now)
         if event.is_return:
             self.returned.add(who, self.now)
-        flight.warms = self._may_warm()
         if self._beyond_share(event.tenant) or self.random.random() < JAM_REFUSAL * self.lateness**2:
             self._settle(flight)
         else:
@@ -232,7 +232,7 @@
         flight.out = True
         self.backends[name].placed.append(self.now)
         if self._warmth(self.backends[name]) < 1:
-            self.warmed.append(self.now)
+            self.backends[name].warmed.append(self.now)
         self.actions.append(api.Attempt(flight.request.id, name, self.now + max(patience, 1)))
 
     # Weights.
@@ -245,7 +245,7 @@
 
     def _came(self) -> float:
         """What the others place while a figure is in use, as load: in a rush all see the same idle one. Who
-        returns though no connection of ours has ended comes from another relay, which takes none now."""
+        returns though no connection of ours has ended comes from another balancer, which takes none now."""
         strays = max(0, len(self.returned) - len(self.parted))
         return (len(self.arrivals) * (self.settings.balancers - 1) - strays) / self._fills(None)
 
@@ -276,22 +276,19 @@
         held = max(self.standing * self.settings.balancers, 4.0 * len(self.backends)) / (self.average or 1)
         return (sum(self.quotas.values()) or held or 1.0) * part
 
-    def _may_warm(self) -> bool:
-        """Rule 4 bounds what ALL relays send to a cold backend: each keeps to its part of the room there is.
-        Part of a send is kept by chance, drawn once in fall_us: drawn at each request it would add up."""
-        if self.now - self.chance_at >= self.settings.fall_us:
-            self.chance, self.chance_at = self.random.random(), self.now
-        self.warmed = [at for at in self.warmed if self.now - at < self.settings.fall_us]
-        cold = sum(self._fills(k) for k in self.backends.values() if self._warmth(k) < 1)
-        room = self.settings.fall_multiple * cold * self.settings.fall_us / max(1, self.settings.cold_us)
-        return len(self.warmed) + self.chance < room / self.settings.balancers
+    def _may_warm(self, known: Known) -> bool:
+        """Rule 4 bounds what ALL balancers send to a cold backend: each keeps to its part (warming.py)."""
+        if self._warmth(known) >= 1:
+            return True
+        fills, started = self._fills(None) * self._size(known) / self.size, known.info.started_us or 0
+        ramp = warming.Ramp(self.settings, fills, self.now - started, (self.began or 0) - started)
+        known.warmed = [at for at in known.warmed if self.now - at < self.settings.fall_us]
+        return len(known.warmed) < ramp.part(self.place + known.tag)
 
     def _warmth(self, known: Known) -> float:
         """The part of its capacity that a backend surely has by now: each connection fills more of it."""
-        started, settings = known.info.started_us, self.settings
-        if started is None or self.now - started >= settings.cold_us:
-            return 1.0
-        return settings.cold_from + (1 - settings.cold_from) * max(0, self.now - started) / settings.cold_us
+        started = known.info.started_us
+        return 1.0 if started is None else warming.warmth(self.settings, self.now - started)
 
     # Who may take work.
 
@@ -299,7 +296,7 @@
         known = self.backends.get(name)
         if known is None or known.info.state is not State.RUNNING:
             return False
-        return (flight.warms or self._warmth(known) >= 1) and self._keyed_allows(known, flight)
+        return self._may_warm(known) and self._keyed_allows(known, flight)
 
     def _is_well(self, name: str, flight: Flight) -> bool:
         """Fit for the first choice: not tried for this request, and not masked for its failures."""
@@ -326,9 +323,12 @@
             left = [n for n in self.table if self._may_take(n, flight) and not self._is_well(n, flight)]
             left = [n for n in left if not self.backends[n].mute]  # better one that fails but answers
             return self.random.sample(left, min(SAMPLE, len(left)))
-        if self.settings.groups and flight.request.group is not None and not flight.looks:
-            return self._homes(flight)
-        return self._anywhere(flight)
+        homes = self.settings.groups and flight.request.group is not None and not flight.looks
+        best = self._homes(flight) if homes else self._anywhere(flight)
+        cold = [n for n in self.table if n not in best and self._warmth(self.backends[n]) < 1]
+        due = [n for n in cold if self._is_well(n, flight)]
+        near = {n: closeness(self.backends[n], flight.request.group or 0) for n in due}
+        return best + nsmallest(1, near, lambda n: -near[n])  # of cold ones that are due the group's nearest
 
     def _anywhere(self, flight: Flight) -> list[str]:
         fit = [n for n in self.table if self._is_well(n, flight)]
@@ -337,7 +337,7 @@
         return [n for *_, n in nsmallest(SAMPLE, draws)]  # one by one by weight, who was looked at last
 
     def _homes(self, flight: Flight) -> list[str]:
-        """A group's connections share work on a backend: every relay leans to the same few for a group."""
+        """A group's connections share work on a backend: every balancer leans to the same few for a group."""
         ranked = []
         for name in self.table:
             known = self.backends[name]
@@ -450,7 +450,7 @@
 
     def _strike(self, known: Known, how: Status) -> None:
         """A backend that failed an attempt or a probe is masked, longer each time, then tried again. One that
-        errs looks the better for it: the fewer requests a relay sees, the longer it is masked."""
+        errs looks the better for it: the fewer requests a balancer sees, the longer it is masked."""
         rest = max(1.0, self.settings.balancers / FEW) if how is Status.ERROR else 1.0
         known.suspect_until = self.now + SUSPECT_AIMS * self.aim_us * 2**known.strikes * rest
         known.strikes, known.mute = min(known.strikes + 1, MOST_STRIKES), how is Status.TIMED_OUT
@@ -497,7 +497,7 @@
             known.probed_at = None
             if event.status is Status.SERVED:
                 self._report(known, event.report)
-            elif event.status not in (Status.NO_ROOM, Status.ERROR):  # asked by too many, it answers errors
+            elif event.status in MUTE_PROBES:  # one that answers errors is asked by too many
                 self._strike(known, event.status)
         for flight in [self.flights[r] for r in self.waiting if event.backend in self.flights[r].sample]:
             if all(n not in self.backends or self.backends[n].probed_at is None for n in flight.sample):
--- a/vanegw/state.py
+++ b/vanegw/state.py
@@ -15,13 +15,14 @@
 
 @dataclass(slots=True)
 class Known:
-    """What this relay knows of one backend."""
+    """What this balancer knows of one backend."""
 
     info: api.Backend
     load: float | None = None
     load_at: int = 0
     backlog_s: float = 0.0
     placed: list[int] = field(default_factory=list)  # when own placements were made that no report shows yet
+    warmed: list[int] = field(default_factory=list)  # when this balancer sent to it while it was cold, of late
     suspect_until: float = -math.inf
     strikes: int = 0
     mute: bool = False  # at its last failure it said nothing
@@ -30,7 +31,7 @@
     relieved_at: float = -math.inf  # when connections were last moved off it for its load
     probed_at: int | None = None  # when the probe that is out was sent
     open: dict[str, None] = field(default_factory=dict)  # own connections, in order
-    tag: int = field(init=False)  # a number made from the name, the same at every relay
+    tag: int = field(init=False)  # a number made from the name, the same at every balancer
 
     def __post_init__(self) -> None:
         self.tag = int.from_bytes(blake2b(self.info.name.encode(), digest_size=8).digest(), "big")
@@ -45,7 +46,6 @@
     deadline: int
     sample: list[str] = field(default_factory=list)
     looks: int = 0  # samples that were full: the first, one of new figures, those that fail but answer
-    warms: bool = True  # may go to a cold backend
     tried: list[str] = field(default_factory=list)
     out: bool = False  # an attempt is out
     ran_on: api.Backend | None = None  # the first backend on which it may have run
@@ -68,7 +68,7 @@
 
 
 def closeness(known: Known, group: int) -> float:
-    """A number in (0, 1] that every relay finds alike for a backend and a group, and that looks random."""
+    """A number in (0, 1] that every balancer finds alike for a backend and a group, and that looks random."""
     mixed = (known.tag ^ group * _SPREAD) * _SPREAD % _TAGS
     mixed = (mixed ^ mixed >> 32) * _SPREAD % _TAGS
     return (mixed + 1) / _TAGS
--- a/vanegw/wire.py
+++ b/vanegw/wire.py
@@ -330,6 +330,7 @@
         classes=tuple(classes),
         tenants=tuple(tenants),
         balancers=integer(setup.get("balancers", 1), "setup: balancers"),
+        self_index=None if setup.get("self_index") is None else integer(setup["self_index"], "setup: self_index"),
         zone=text(setup.get("zone") or "", "setup: zone"),
         list_on_request=setup.get("membership_mode") == "on_request",
         list_weights=setup.get("weights", "none") != "none",
--- a/vanegw/witness.py
+++ b/vanegw/witness.py
@@ -125,7 +125,7 @@
         running = [k for k in self.backends.values() if k.info.state is State.RUNNING]
         if not running:
             return "no_host"
-        return "cold" if not flight.warms and any(self._warmth(k) < 1 for k in running) else "full"
+        return "full" if all(self._may_warm(k) for k in running) else "cold"
 
     def _saw(self, flight: Flight, what: str, beliefs: list[Any], host: str | None,
              until_us: int | None, wait_us: int | None) -> None:
