--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -90,9 +90,11 @@
             moved += sum(int(n) for n in re.findall(r'"moved":(\d+)', said[-1]))
         load.stop()
         stand = sum(client.up and client.echoes() for client in standing)
-        print(f"{UPGRADES} upgrades of {min(times):.2f} to {max(times):.2f} s: {load.came - came} came, "
-              f"{load.refused - refused} refused, {load.failed - failed} neither served nor refused; "
-              f"of {up} that stood {stand} stand, {moved} moved")
+        print(
+            f"{UPGRADES} upgrades of {min(times):.2f} to {max(times):.2f} s: {load.came - came} came, "
+            f"{load.refused - refused} refused, {load.failed - failed} neither served nor refused; "
+            f"of {up} that stood {stand} stand, {moved} moved"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -37,7 +37,8 @@
 WITHIN = timedelta(seconds=5)
 KEYS: dict[str, Callable[[], ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey]] = {
     "ECDSA P-256": lambda: ec.generate_private_key(ec.SECP256R1()),
-    "RSA 2048": lambda: rsa.generate_private_key(65537, 2048)}
+    "RSA 2048": lambda: rsa.generate_private_key(65537, 2048),
+}
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 
 
@@ -106,9 +107,11 @@
                 took, spent = time.perf_counter() - began, time.thread_time() - ours
                 time.sleep(0.05)
                 resumed = counters.get("tls_resumed") / count
-                click.echo(f"  {kind:12} TLS {version} {'resumed' if resume else 'full':8} {count / took:6.0f}/s  "
-                           f"ours {spent / count * 1e6:5.0f} us, host's {(side.cpu - theirs) / count * 1e6:5.0f} us"
-                           f"  ({resumed:.0%} resumed)")
+                click.echo(
+                    f"  {kind:12} TLS {version} {'resumed' if resume else 'full':8} {count / took:6.0f}/s  "
+                    f"ours {spent / count * 1e6:5.0f} us, host's {(side.cpu - theirs) / count * 1e6:5.0f} us"
+                    f"  ({resumed:.0%} resumed)"
+                )
                 side.close()
 
 
@@ -122,6 +125,7 @@
         block = os.urandom(1 << 16)
         for _ in range(size // len(block)):
             sock.sendall(block)
+
     return serve
 
 
@@ -154,8 +158,10 @@
                     have += sock.recv_into(buffer)
                 ways.append((time.perf_counter() - began) * 1e6)
         name = "TLS" if secured else "plain"
-        click.echo(f"  {name:5} {spent / megabytes * 1000:5.2f} ms of CPU a MB, {megabytes / wall:4.0f} MB/s; a line "
-                   f"{median(ways):4.0f} us, p99 {quantiles(ways, n=100)[98]:4.0f} us")
+        click.echo(
+            f"  {name:5} {spent / megabytes * 1000:5.2f} ms of CPU a MB, {megabytes / wall:4.0f} MB/s; a line "
+            f"{median(ways):4.0f} us, p99 {quantiles(ways, n=100)[98]:4.0f} us"
+        )
 
 
 def _resident() -> float:
@@ -176,7 +182,8 @@
         for count in counts:
             ours, theirs = multiprocessing.Pipe()
             child = multiprocessing.get_context("fork").Process(
-                target=_hosts_process, args=(ca.issue("h0.test").server() if secured else None, theirs), daemon=True)
+                target=_hosts_process, args=(ca.issue("h0.test").server() if secured else None, theirs), daemon=True
+            )
             child.start()
             side = UpstreamHost("h0", ours.recv(), tls_name="h0.test")
             dialer = Dialer(Plan(Files(ca.file), rates=FREE), Counters()) if secured else None
--- a/benchmarks/tls_rotate.py
+++ b/benchmarks/tls_rotate.py
@@ -77,8 +77,14 @@
         try:
             with running(Path(config), hosts, tls=table) as program:
                 span = rounds * every + 2
-                threads = [threading.Thread(target=keep_asking), threading.Thread(target=lambda: stood.update(
-                    load(program.address, standing, at_once=standing, seed=99, stay=span, within=span + 20)))]
+                threads = [
+                    threading.Thread(target=keep_asking),
+                    threading.Thread(
+                        target=lambda: stood.update(
+                            load(program.address, standing, at_once=standing, seed=99, stay=span, within=span + 20)
+                        )
+                    ),
+                ]
                 for thread in threads:
                     thread.start()
                 for n in range(rounds):
@@ -105,13 +111,19 @@
         finally:
             hosts.stop()
     refused = {k: v for k, v in counters.items() if k.startswith("tls_refused")}
-    click.echo(f"{rounds} rounds of {every:.0f} s: {counters['tls_files_taken']} changes of files taken, "
-               f"{counters.get('tls_files_refused', 0)} refused as half-written")
+    click.echo(
+        f"{rounds} rounds of {every:.0f} s: {counters['tls_files_taken']} changes of files taken, "
+        f"{counters.get('tls_files_refused', 0)} refused as half-written"
+    )
     click.echo(f"standing through all of it: {stood['UP']} of {standing}; cut {stood['cut']}, moved {stood['moved']}")
-    click.echo(f"new connections: {got['UP']} served, {got['BUSY']} refused, {got['ERR']} failed, {got['cut']} cut; "
-               f"handshakes {counters['tls_full']} full, {counters['tls_resumed']} resumed")
-    click.echo(f"the stranger took {hosts.taken['h4']} requests; certificates refused: {refused}, "
-               f"handshakes failed {counters.get('tls_failed', 0)}")
+    click.echo(
+        f"new connections: {got['UP']} served, {got['BUSY']} refused, {got['ERR']} failed, {got['cut']} cut; "
+        f"handshakes {counters['tls_full']} full, {counters['tls_resumed']} resumed"
+    )
+    click.echo(
+        f"the stranger took {hosts.taken['h4']} requests; certificates refused: {refused}, "
+        f"handshakes failed {counters.get('tls_failed', 0)}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/tls_wave.py
+++ b/benchmarks/tls_wave.py
@@ -36,8 +36,16 @@
     return max((sum(1 for t in times[n:] if t < first + 1) for n, first in enumerate(times)), default=0)
 
 
-def play(ca: Authority, tls: dict[str, Any] | None, count: int, at_once: int, restart: int, life: float,
-         told: bool, tickets: bool) -> dict[str, Any]:
+def play(
+    ca: Authority,
+    tls: dict[str, Any] | None,
+    count: int,
+    at_once: int,
+    restart: int,
+    life: float,
+    told: bool,
+    tickets: bool,
+) -> dict[str, Any]:
     def server(name: str) -> ssl.SSLContext:
         made = ca.issue(name).server()
         if not tickets:
@@ -48,8 +56,10 @@
     got: Counter[str] = Counter()
     table = None if tls is None else {"ca": str(ca.file)} | tls
     try:
-        with tempfile.TemporaryDirectory() as folder, running(
-                Path(folder), hosts, tls=table, settings=settings()) as program:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            running(Path(folder), hosts, tls=table, settings=settings()) as program,
+        ):
             loads = threading.Thread(target=lambda: got.update(load(program.address, count, at_once, within=120)))
             loads.start()
             time.sleep(3)
@@ -68,14 +78,20 @@
             program.stop()
     finally:
         hosts.stop()
-    full = {name: [t for t, resumed in made if not resumed and t >= restarted]
-            for name, made in hosts.handshakes.items()}
+    full = {
+        name: [t for t, resumed in made if not resumed and t >= restarted] for name, made in hosts.handshakes.items()
+    }
     return {
-        "most": max(most_in_a_second(full[n]) for n in cold), "all": sum(map(len, full.values())),
-        "cold": sum(len(full[n]) for n in cold), "got": got, "took": took,
+        "most": max(most_in_a_second(full[n]) for n in cold),
+        "all": sum(map(len, full.values())),
+        "cold": sum(len(full[n]) for n in cold),
+        "got": got,
+        "took": took,
         "first": [len([t for t in full[n] if t < restarted + 1]) for n in cold],
-        "spared": after.get("tls_spared", 0) - before.get("tls_spared", 0), "waited": after.get("tls_waited", 0),
-        "reuse": _reuse(before, early)}
+        "spared": after.get("tls_spared", 0) - before.get("tls_spared", 0),
+        "waited": after.get("tls_waited", 0),
+        "reuse": _reuse(before, early),
+    }
 
 
 def _reuse(counters: dict[str, int], early: dict[str, int]) -> float | None:
@@ -92,8 +108,7 @@
 @click.option("--full-per-s", default=40.0, show_default=True, help="The budget of a warm host.")
 @click.option("--life", default=0.4, show_default=True, help="Seconds that a connection stands.")
 @click.option("--restart", default=4, show_default=True, help="Hosts, of ten.")
-def main(requests: int, at_once: int, restart: int, life: float, told: bool, tickets: bool,
-         full_per_s: float) -> None:
+def main(requests: int, at_once: int, restart: int, life: float, told: bool, tickets: bool, full_per_s: float) -> None:
     """Restart hosts cold under load."""
     logging.disable()
     ca = Authority()
@@ -101,12 +116,16 @@
     for name, tls in (("plain", None), ("no budget", none), ("budget", {"full_per_s": full_per_s})):
         seen = play(ca, tls, requests, at_once, restart, life, told, tickets)
         got = seen["got"]
-        click.echo(f"{name:10} served {got['UP']}, refused {got['BUSY']}, failed {got['ERR']}, cut {got['cut']} "
-                   f"in {seen['took']:.1f} s after the restart")
+        click.echo(
+            f"{name:10} served {got['UP']}, refused {got['BUSY']}, failed {got['ERR']}, cut {got['cut']} "
+            f"in {seen['took']:.1f} s after the restart"
+        )
         if tls is not None:
-            click.echo(f"           full handshakes after it: {seen['all']}, of them {seen['cold']} at the restarted; "
-                       f"in the first second {seen['first']}, most in any second at one of them {seen['most']}; spared "
-                       f"{seen['spared']}, waited {seen['waited']}; resumed in the 5 s before it {seen['reuse']:.1%}")
+            click.echo(
+                f"           full handshakes after it: {seen['all']}, of them {seen['cold']} at the restarted; "
+                f"in the first second {seen['first']}, most in any second at one of them {seen['most']}; spared "
+                f"{seen['spared']}, waited {seen['waited']}; resumed in the 5 s before it {seen['reuse']:.1%}"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -60,8 +60,7 @@
         decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
         asked: list[str] = []
         decisions.on_probe = asked.append
-        decisions.list(api.ListMode.COMPLETE, [
-            UpstreamHost(f"h{n}", ("127.0.0.1", 1 + n)) for n in range(hosts)])
+        decisions.list(api.ListMode.COMPLETE, [UpstreamHost(f"h{n}", ("127.0.0.1", 1 + n)) for n in range(hosts)])
         took: dict[bool, list[float]] = {True: [], False: []}
         number = 0
         for turn in range(rounds * 2):
@@ -118,7 +117,7 @@
             load(program.address, requests * 2, at_once, within=300)  # what comes first is not counted
             for n in range(pairs):
                 got = {}
-                for traced in ((False, True) if n % 2 else (True, False)):
+                for traced in (False, True) if n % 2 else (True, False):
                     assert program.reload(trace=plan if traced and not noise else None)["text"] == "done"
                     got[traced] = cpu(program, requests, at_once, n * 2 + traced)
                 ratios.append(got[True] / got[False] - 1)
@@ -126,15 +125,21 @@
             program.stop()
         size = sum(p.stat().st_size for p in Path(folder).glob("*.trace"))
         without, with_ = parts(8, 40, 200)
-        click.echo(f"what tracing touches, alone in one thread: {without:.1f} us a request off, {with_:.1f} on; "
-                   f"{with_ - without:.1f} us are {(with_ - without) / median(plain):.1%} of the program's "
-                   f"{median(plain):.0f}")
+        click.echo(
+            f"what tracing touches, alone in one thread: {without:.1f} us a request off, {with_:.1f} on; "
+            f"{with_ - without:.1f} us are {(with_ - without) / median(plain):.1%} of the program's "
+            f"{median(plain):.0f}"
+        )
         low, middle, high = quantiles(ratios, n=4)
-        click.echo(f"CPU a request: {median(plain):.0f} us off; with tracing {middle:+.1%} "
-                   f"(quartiles {low:+.1%}, {high:+.1%}; {pairs} pairs of {requests}); "
-                   f"{size / pairs / requests:.0f} bytes a request in the file")
-        more = [memory(hosts, requests * 4, at_once, plan) - memory(hosts, requests * 4, at_once, None)
-                for _ in range(programs)]
+        click.echo(
+            f"CPU a request: {median(plain):.0f} us off; with tracing {middle:+.1%} "
+            f"(quartiles {low:+.1%}, {high:+.1%}; {pairs} pairs of {requests}); "
+            f"{size / pairs / requests:.0f} bytes a request in the file"
+        )
+        more = [
+            memory(hosts, requests * 4, at_once, plan) - memory(hosts, requests * 4, at_once, None)
+            for _ in range(programs)
+        ]
         if more:
             click.echo(f"resident memory: {median(more):+.1f} MB (least {min(more):+.1f}, most {max(more):+.1f})")
     hosts.stop()
--- a/benchmarks/trace_find.py
+++ b/benchmarks/trace_find.py
@@ -34,7 +34,7 @@
     length = base[-1].at - base[0].at + 1000
     for turn in range(1, -(-count // MILLION)):
         flip = turn * 0x9E3779B97F4A7C15 % 2**64
-        for record in base[:count - turn * MILLION]:
+        for record in base[: count - turn * MILLION]:
             changed: dict[str, object] = {"at": record.at + turn * length}
             for name in ("id", "key"):
                 value = getattr(record, name, None)
@@ -47,8 +47,9 @@
     took, out = [], b""
     for _ in range(runs):
         began = time.perf_counter()
-        out = subprocess.run([sys.executable, "-m", "bramblestile", *map(str, arguments)], check=True,
-                             capture_output=True).stdout
+        out = subprocess.run(
+            [sys.executable, "-m", "bramblestile", *map(str, arguments)], check=True, capture_output=True
+        ).stdout
         took.append(time.perf_counter() - began)
     return median(took), out
 
@@ -81,16 +82,20 @@
         squeezed += len(packed.flush())
         first = min(records, MILLION)
         each = path.stat().st_size / records
-        click.echo(f"{records} records: {each:.2f} bytes each; JSON lines {lines / first:.1f}, gzip'd "
-                   f"{squeezed / first:.2f}: {squeezed / first / each:.2f} times smaller")
+        click.echo(
+            f"{records} records: {each:.2f} bytes each; JSON lines {lines / first:.1f}, gzip'd "
+            f"{squeezed / first:.2f}: {squeezed / first / each:.2f} times smaller"
+        )
         nothing = timed("--version")[0]
         window, out = timed("trace", "export", path, "--from", middle, "--to", middle + 10_000_000)
         with Reader(path) as reader:
             expected = sum(1 for _ in reader.read(Wanted(middle, middle + 10_000_000)))
         assert out.count(b"\n") == expected > 0
-        click.echo(f"a window of 10 s, {expected} records: {window * 1000:.0f} ms as a whole process "
-                   f"({nothing * 1000:.0f} ms for --version)")
-        story = max(timed("trace", "story", path, one, runs=1)[0] for one in asked[::max(1, len(asked) // 10)])
+        click.echo(
+            f"a window of 10 s, {expected} records: {window * 1000:.0f} ms as a whole process "
+            f"({nothing * 1000:.0f} ms for --version)"
+        )
+        story = max(timed("trace", "story", path, one, runs=1)[0] for one in asked[:: max(1, len(asked) // 10)])
         click.echo(f"a request's story: {story * 1000:.0f} ms at most, of ten requests all over the file")
         info = timed("trace", "info", path)[0]
         click.echo(f"info: {info * 1000:.0f} ms")
--- a/benchmarks/trace_kill.py
+++ b/benchmarks/trace_kill.py
@@ -32,8 +32,10 @@
             latest = max(latest, at - max(row.at for row in rows))
             for line in missing[:3]:
                 click.echo(line)
-    click.echo(f"{times} kills, {records} records read back, {wrong} missing; at most {latest / 1000:.0f} ms from the "
-               "last record to the kill (flush span 50 ms)")
+    click.echo(
+        f"{times} kills, {records} records read back, {wrong} missing; at most {latest / 1000:.0f} ms from the "
+        "last record to the kill (flush span 50 ms)"
+    )
     hosts.stop()
 
 
--- a/benchmarks/trace_size.py
+++ b/benchmarks/trace_size.py
@@ -63,6 +63,7 @@
 def mcap_(rows: list[Record], path: Path) -> None:
     from mcap.writer import CompressionType
     from mcap.writer import Writer as McapWriter
+
     with open(path, "wb") as file:
         # Typed loosely: whether the library is installed (the extra `bench`) must not change the verdict of mypy.
         writer: Any = McapWriter(file, compression=CompressionType.ZSTD, chunk_size=1 << 20)
@@ -80,13 +81,16 @@
 
 def mcap_window(path: Path, since: int) -> int:
     from mcap.reader import make_reader
+
     with open(path, "rb") as file:
-        return sum(1 for _ in make_reader(file).iter_messages(
-            start_time=since * 1000, end_time=(since + WINDOW_US) * 1000))
+        return sum(
+            1 for _ in make_reader(file).iter_messages(start_time=since * 1000, end_time=(since + WINDOW_US) * 1000)
+        )
 
 
 def _tables(rows: list[Record]) -> dict[str, Any]:
     import pyarrow as pa
+
     kinds: dict[str, list[Any]] = {}
     for n, row in enumerate(rows):
         kinds.setdefault(kind_of(row), []).append(msgspec.to_builtins(row) | {"n": n})
@@ -95,6 +99,7 @@
 
 def parquet(rows: list[Record], path: Path) -> None:
     import pyarrow.parquet as pq
+
     path.mkdir()
     for kind, table in _tables(rows).items():
         pq.write_table(table, path / kind, compression="zstd", compression_level=9, row_group_size=32768)
@@ -102,12 +107,14 @@
 
 def parquet_window(path: Path, since: int) -> int:
     import pyarrow.parquet as pq
+
     window = [("at", ">=", since), ("at", "<", since + WINDOW_US)]
     return sum(pq.read_table(kind, filters=window).num_rows for kind in path.iterdir())
 
 
 def arrow(rows: list[Record], path: Path) -> None:
     import pyarrow as pa
+
     path.mkdir()
     options = pa.ipc.IpcWriteOptions(compression=pa.Codec("zstd", 9))
     for kind, table in _tables(rows).items():
@@ -118,6 +125,7 @@
 def arrow_window(path: Path, since: int) -> int:
     import pyarrow as pa
     import pyarrow.compute as pc
+
     count = 0
     for kind in path.iterdir():
         with pa.OSFile(str(kind), "rb") as source:
@@ -130,8 +138,10 @@
     base = sqlite3.connect(path)
     base.execute("create table r (at integer, kind text, id text, host text, body blob)")
     encode = msgspec.msgpack.Encoder().encode
-    base.executemany("insert into r values (?,?,?,?,?)", (
-        (r.at, kind_of(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in rows))
+    base.executemany(
+        "insert into r values (?,?,?,?,?)",
+        ((r.at, kind_of(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in rows),
+    )
     base.execute("create index a on r (at)")
     base.execute("create index i on r (id)")
     base.commit()
@@ -141,14 +151,23 @@
 def sqlite_window(path: Path, since: int) -> int:
     base = sqlite3.connect(path)
     decode = msgspec.msgpack.Decoder().decode
-    return sum(1 for (body,) in base.execute("select body from r where at >= ? and at < ?", (since, since + WINDOW_US))
-               if decode(body))
+    return sum(
+        1
+        for (body,) in base.execute("select body from r where at >= ? and at < ?", (since, since + WINDOW_US))
+        if decode(body)
+    )
 
 
 FORMATS: tuple[tuple[str, Callable[[list[Record], Path], None], Callable[[Path, int], int]], ...] = (
-    ("json.gz", gzipped, json_window), ("json", json_lines, json_window), ("columns", columns, our_window),
-    ("rows", rows_, our_window), ("mcap", mcap_, mcap_window), ("parquet", parquet, parquet_window),
-    ("arrow", arrow, arrow_window), ("sqlite", sqlite, sqlite_window))
+    ("json.gz", gzipped, json_window),
+    ("json", json_lines, json_window),
+    ("columns", columns, our_window),
+    ("rows", rows_, our_window),
+    ("mcap", mcap_, mcap_window),
+    ("parquet", parquet, parquet_window),
+    ("arrow", arrow, arrow_window),
+    ("sqlite", sqlite, sqlite_window),
+)
 
 
 @click.command()
@@ -175,9 +194,11 @@
             found = window(path, since)
             took = time.perf_counter() - began
             assert found == count, (name, found, count)
-            click.echo(f"{name:8} {size / records:7.2f} bytes a record, {baseline / size:5.2f} times smaller than "
-                       f"gzip'd lines; written at {wrote / records * 1e6:5.1f} us a record; "
-                       f"window {took * 1000:6.0f} ms")
+            click.echo(
+                f"{name:8} {size / records:7.2f} bytes a record, {baseline / size:5.2f} times smaller than "
+                f"gzip'd lines; written at {wrote / records * 1e6:5.1f} us a record; "
+                f"window {took * 1000:6.0f} ms"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -47,6 +47,7 @@
 
 def release(town: Town, step: float) -> None:
     """As a list and a script do it: told that it drains, restarted a second later, back cold."""
+
     def one(name: str) -> None:
         host = town.hosts[name]
         host.health = "terminating"
@@ -92,9 +93,19 @@
     parser.add_argument("--keep", action="store_true", help="show when each machine came to each stage")
     given = parser.parse_args()
     settings = {"rules": SETTINGS["rules"] | {"cold_us": int(COLD_S * 1e6)}}
-    with tempfile.TemporaryDirectory() as folder, Stage(
-            Path(folder), given.balancers, fleet={}, voters=3, servers=given.servers, settings=settings,
-            slots=given.slots, cold_s=COLD_S) as stage:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Stage(
+            Path(folder),
+            given.balancers,
+            fleet={},
+            voters=3,
+            servers=given.servers,
+            settings=settings,
+            slots=given.slots,
+            cold_s=COLD_S,
+        ) as stage,
+    ):
         stage.start()
         stage.agree(within=60 * S)
         town, work = town_of(stage), Worksite(stage, given.most, AWAY_S)
@@ -117,18 +128,25 @@
         work.stop()
     got = {key: after[key] - before[key] for key in after}
     name = f"fixed step {given.baseline} s" if given.baseline else f"order of work, {given.most} at once"
-    print(f"{name}; {given.balancers} balancers, {given.servers} servers, {clients} clients, load {given.load}"
-          f"{', with faults' if given.faults else ''}: {took:.1f} s; {got['moves'] / clients:.2f} moves a client, "
-          f"{got['cuts']:.0f} cut, {got['refused']:.0f} refused, {got['failed']:.0f} failed; without a connection "
-          f"{got['down_s']:.0f} s, {got['down_s'] / max(0.01, got['paused_s']):.3f} of their own pauses; "
-          f"fallen over: {sum(host.fallen for host in town.hosts.values())}", flush=True)
+    print(
+        f"{name}; {given.balancers} balancers, {given.servers} servers, {clients} clients, load {given.load}"
+        f"{', with faults' if given.faults else ''}: {took:.1f} s; {got['moves'] / clients:.2f} moves a client, "
+        f"{got['cuts']:.0f} cut, {got['refused']:.0f} refused, {got['failed']:.0f} failed; without a connection "
+        f"{got['down_s']:.0f} s, {got['down_s'] / max(0.01, got['paused_s']):.3f} of their own pauses; "
+        f"fallen over: {sum(host.fallen for host in town.hosts.values())}",
+        flush=True,
+    )
     missing = given.servers * min(1 - given.least, 1 - given.load / ROOM)
     least = shortest(given.servers, min(float(given.most), missing))
     print(f"  at most {missing:.1f} missing at a time; shortest with that {least:.1f} s: {took / least:.2f} times")
     if given.keep:
-        print("  stages, s after the start: " + "; ".join(
-            f"{stage} {' '.join(f'{at - work.seen[0][0]:.1f}' for at, _, s in work.seen if s == stage)}"
-            for stage in ("leaving", "out", "cold", "done")))
+        print(
+            "  stages, s after the start: "
+            + "; ".join(
+                f"{stage} {' '.join(f'{at - work.seen[0][0]:.1f}' for at, _, s in work.seen if s == stage)}"
+                for stage in ("leaving", "out", "cold", "done")
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/work_seeds.py
+++ b/benchmarks/work_seeds.py
@@ -1,6 +1,6 @@
 """The order of work in simulated time, from many seeds: what breaks, and how long a plan takes.
 
-    python -m benchmarks.work_seeds --seeds 10000 --least 5 --most 20 --first 0
+python -m benchmarks.work_seeds --seeds 10000 --least 5 --most 20 --first 0
 """
 
 from __future__ import annotations
@@ -33,14 +33,17 @@
     given = parser.parse_args()
     began, broken, stages = time.monotonic(), [], Counter[str]()
     with Pool(os.cpu_count()) as pool:
-        for seed, text, counted in pool.imap_unordered(partial(play, given.least, given.most),
-                                                       range(given.first, given.first + given.seeds), chunksize=4):
+        for seed, text, counted in pool.imap_unordered(
+            partial(play, given.least, given.most), range(given.first, given.first + given.seeds), chunksize=4
+        ):
             stages += counted
             if text:
                 broken.append(seed)
                 print(f"seed {seed}: {text}", flush=True)
-    print(f"{given.seeds} runs of {given.least} to {given.most} balancers, {len(broken)} broken; machines at the end: "
-          f"{dict(stages)}; {time.monotonic() - began:.0f} s")
+    print(
+        f"{given.seeds} runs of {given.least} to {given.most} balancers, {len(broken)} broken; machines at the end: "
+        f"{dict(stages)}; {time.monotonic() - began:.0f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/bramblestile/__main__.py
+++ b/bramblestile/__main__.py
@@ -16,8 +16,10 @@
     try:
         from bramblestile import cli
     except ImportError as error:
-        print(f"bramblestile: the commands need the extra 'tools' of this package ({error.name} is not installed)",
-              file=sys.stderr)
+        print(
+            f"bramblestile: the commands need the extra 'tools' of this package ({error.name} is not installed)",
+            file=sys.stderr,
+        )
         return 1
     return cli.main(arguments)
 
--- a/bramblestile/cli/common.py
+++ b/bramblestile/cli/common.py
@@ -51,8 +51,11 @@
         try:
             when = datetime.fromisoformat(value)
         except ValueError:
-            self.fail(f"{value!r} is no time: 2026-12-01T10:00:00.5Z, microseconds since 1970, or +10s from the "
-                      "first record", param, ctx)
+            self.fail(
+                f"{value!r} is no time: 2026-12-01T10:00:00.5Z, microseconds since 1970, or +10s from the first record",
+                param,
+                ctx,
+            )
         return round((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * 1_000_000)
 
 
--- a/bramblestile/cli/fleet.py
+++ b/bramblestile/cli/fleet.py
@@ -46,10 +46,14 @@
     for row in rows:
         share = f"{(row.get('traffic') or 0.0) / total:6.1%}" if total else "     -"
         by = f"  doubted by {', '.join(row['by'])}" if row.get("by") else ""
-        click.echo(f"{row['name']:20} {row['state']:8} {row['for_ms'] / 1000:8.1f} s  {share}  {row['hall']:12} "
-                   f"{row['version']:10} {row['at']}{by}")
+        click.echo(
+            f"{row['name']:20} {row['state']:8} {row['for_ms'] / 1000:8.1f} s  {share}  {row['hall']:12} "
+            f"{row['version']:10} {row['at']}{by}"
+        )
     states = Counter(row["state"] for row in rows)
-    click.echo(", ".join(f"{count} {state}" for state, count in sorted(states.items()))
-               + f"; seen by {got['me']}, its own health {got['health']} of 8")
+    click.echo(
+        ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+        + f"; seen by {got['me']}, its own health {got['health']} of 8"
+    )
     if got["muted_by"]:
         click.echo(f"silent: a later start at {got['muted_by']} holds the name {got['me']}")
--- a/bramblestile/cli/lab.py
+++ b/bramblestile/cli/lab.py
@@ -17,8 +17,12 @@
 
 @group.command()
 @click.argument("file", type=FILE)
-@click.option("--folder", type=click.Path(file_okay=False, path_type=Path), help="For the record, the configurations "
-              "and the page; a new one below the system's folder for such where none is named.")
+@click.option(
+    "--folder",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="For the record, the configurations "
+    "and the page; a new one below the system's folder for such where none is named.",
+)
 @click.option("--page", is_flag=True, help="Draw a page of plots (needs matplotlib).")
 def run(file: Path, folder: Path | None, page: bool) -> None:
     """Play FILE, a script in TOML, and say whether what it wants has held.
@@ -31,8 +35,9 @@
         if page:
             from bramblestile.lab.page import draw
     except ImportError as error:
-        raise Failed("lab: needs the extras 'tools' and, for a page, 'plots' of this package "
-                     f"({error.name} is not installed)") from None
+        raise Failed(
+            f"lab: needs the extras 'tools' and, for a page, 'plots' of this package ({error.name} is not installed)"
+        ) from None
     try:
         made = script.parse(file.read_text())
     except (OSError, UnicodeDecodeError, script.ScriptError) as error:
--- a/bramblestile/cli/main.py
+++ b/bramblestile/cli/main.py
@@ -16,12 +16,15 @@
 if TYPE_CHECKING:
     from bramblestile.process.config import TlsConfig
 
-GROUPS = {"store": "Read and write the replicated store.", "trace": "Read, cut, merge and sum up trace files.",
-          "lab": "Play many processes of the program with faults between them.",
-          "fleet": "Show which balancers live, as one of them sees it.",
-          "ops": "Ask a balancer whether it is ready, take image servers out, send clients away.",
-          "work": "Take machines out for work, in an order that the balancers settle.",
-          "tls": "Look at the image servers' certificates; make an authority for trying things out."}
+GROUPS = {
+    "store": "Read and write the replicated store.",
+    "trace": "Read, cut, merge and sum up trace files.",
+    "lab": "Play many processes of the program with faults between them.",
+    "fleet": "Show which balancers live, as one of them sees it.",
+    "ops": "Ask a balancer whether it is ready, take image servers out, send clients away.",
+    "work": "Take machines out for work, in an order that the balancers settle.",
+    "tls": "Look at the image servers' certificates; make an authority for trying things out.",
+}
 
 
 class _Lazy(click.Group):
@@ -39,8 +42,9 @@
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """Their one line each without loading them."""
-        rows = [(name, GROUPS.get(name) or self.commands[name].get_short_help_str(80))
-                for name in self.list_commands(ctx)]
+        rows = [
+            (name, GROUPS.get(name) or self.commands[name].get_short_help_str(80)) for name in self.list_commands(ctx)
+        ]
         with formatter.section("Commands"):
             formatter.write_dl(rows)
 
@@ -102,15 +106,18 @@
         _, trust = load_tls(config)
     except ConfigError as error:
         raise Refused(str(error)) from None
-    click.echo(f"{config.path}: {len(trust.authorities)} authorities, names by {config.name}"
-               + (", NOT VERIFIED" if config.unverified else ""))
+    click.echo(
+        f"{config.path}: {len(trust.authorities)} authorities, names by {config.name}"
+        + (", NOT VERIFIED" if config.unverified else "")
+    )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Exit code. Whatever goes wrong comes in one line; click's own usage errors too."""
     try:
-        ended = group.main(None if arguments is None else list(arguments), prog_name="bramblestile",
-                           standalone_mode=False)
+        ended = group.main(
+            None if arguments is None else list(arguments), prog_name="bramblestile", standalone_mode=False
+        )
     except click.ClickException as error:
         at = f"{error.ctx.command_path}: " if isinstance(error, click.UsageError) and error.ctx else ""
         click.echo(f"bramblestile: {at.removeprefix('bramblestile ')}{error.format_message()}", err=True)
--- a/bramblestile/cli/ops.py
+++ b/bramblestile/cli/ops.py
@@ -21,8 +21,15 @@
 
 
 # The commands of a group with it find the address in ``ctx.obj``.
-at_option = click.option("--at", envvar="EDGE_MANAGEMENT", required=True, metavar="HOST:PORT", expose_value=False,
-                         callback=_address, help="The balancer's management address; $EDGE_MANAGEMENT.")
+at_option = click.option(
+    "--at",
+    envvar="EDGE_MANAGEMENT",
+    required=True,
+    metavar="HOST:PORT",
+    expose_value=False,
+    callback=_address,
+    help="The balancer's management address; $EDGE_MANAGEMENT.",
+)
 
 
 @click.group("ops")
--- a/bramblestile/cli/tls.py
+++ b/bramblestile/cli/tls.py
@@ -78,8 +78,10 @@
     except OSError as error:
         click.echo(f"{host.id}: REFUSED: {error}")
         return False
-    click.echo(f"{host.id}: {dialer.name_of(host)}, {first.version}, {first.cipher}, first handshake {_ms(first)}, "
-               f"second {_ms(again)} {'resumed' if again.resumed else 'not resumed'}")
+    click.echo(
+        f"{host.id}: {dialer.name_of(host)}, {first.version}, {first.cipher}, first handshake {_ms(first)}, "
+        f"second {_ms(again)} {'resumed' if again.resumed else 'not resumed'}"
+    )
     _show(first)
     return True
 
@@ -91,14 +93,21 @@
 def _show(seen: Seen) -> None:
     for place, facts in enumerate(seen.chain):
         names = ", ".join((*facts.dns, *facts.ip, *facts.uri))
-        click.echo(f"  {place}: {facts.subject}{f' for {names}' if names else ''}, from {facts.issuer}, "
-                   f"{facts.not_before:%Y-%m-%d %H:%M} to {facts.not_after:%Y-%m-%d %H:%M}Z")
+        click.echo(
+            f"  {place}: {facts.subject}{f' for {names}' if names else ''}, from {facts.issuer}, "
+            f"{facts.not_before:%Y-%m-%d %H:%M} to {facts.not_after:%Y-%m-%d %H:%M}Z"
+        )
 
 
 @group.command("make-test-ca")
 @click.argument("directory", type=click.Path(path_type=Path, file_okay=False))
-@click.option("--host", "hosts", multiple=True, required=True,
-              help="A host's name as NAME or NAME=DNS,ADDRESS,URI; may be given several times.")
+@click.option(
+    "--host",
+    "hosts",
+    multiple=True,
+    required=True,
+    help="A host's name as NAME or NAME=DNS,ADDRESS,URI; may be given several times.",
+)
 @click.option("--days", default=7, show_default=True, type=click.IntRange(1, 90))
 @click.option("--rsa", is_flag=True, help="RSA 2048 in place of ECDSA P-256.")
 @click.option("--force", is_flag=True, help="Overwrite what is there.")
--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -18,8 +18,9 @@
 
 LONGEST_LINE = 1 << 20  # bytes of a line of JSON that is imported
 force = click.option("--force", is_flag=True, help="Overwrite OUT.")
-drop_unknown = click.option("--drop-unknown", is_flag=True,
-                            help="Copy even where a newer program wrote kinds or fields that would be lost.")
+drop_unknown = click.option(
+    "--drop-unknown", is_flag=True, help="Copy even where a newer program wrote kinds or fields that would be lost."
+)
 
 
 @click.group("trace")
@@ -38,8 +39,9 @@
     if reader.damaged > 10:
         click.echo(f"bramblestile: {reader.path}: and {reader.damaged - 10} damaged places more", err=True)
     for what, count in reader.unknown.counts.items():
-        click.echo(f"bramblestile: {reader.path}: {count} of {what}, which this program does not know, passed over",
-                   err=True)
+        click.echo(
+            f"bramblestile: {reader.path}: {count} of {what}, which this program does not know, passed over", err=True
+        )
 
 
 class _OneLine(click.Command):
@@ -61,8 +63,9 @@
         raise TraceError(f"{path}: {error}") from None
 
 
-def _wanted(reader: Reader, since: int | None, until: int | None, id_: str | None, host: str | None,
-            cls: str | None) -> Wanted:
+def _wanted(
+    reader: Reader, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None
+) -> Wanted:
     def first() -> int:
         found = min((place.frame.first for place in reader.places()), default=0)
         reader.forget()
@@ -73,12 +76,17 @@
 
 def _filters(function: Callable[..., None]) -> Callable[..., None]:
     for option in (
-            click.option("--class", "cls", metavar="CLASS", help="Requests of this class, with all their records."),
-            click.option("--host", metavar="ID", help="Records that tell of this host."),
-            click.option("--request", "id_", metavar="ID", help="Records of this request."),
-            click.option("--to", "until", type=TIME, help="Before this time."),
-            click.option("--from", "since", type=TIME,
-                         help="From this time on: 2026-12-01T10:00:00Z, microseconds since 1970, or +10s.")):
+        click.option("--class", "cls", metavar="CLASS", help="Requests of this class, with all their records."),
+        click.option("--host", metavar="ID", help="Records that tell of this host."),
+        click.option("--request", "id_", metavar="ID", help="Records of this request."),
+        click.option("--to", "until", type=TIME, help="Before this time."),
+        click.option(
+            "--from",
+            "since",
+            type=TIME,
+            help="From this time on: 2026-12-01T10:00:00Z, microseconds since 1970, or +10s.",
+        ),
+    ):
         function = option(function)
     return function
 
@@ -99,8 +107,10 @@
     """Called when all has been read and before the copy gets its name."""
     for reader in readers:
         if reader.unknown.counts and not dropped:
-            raise TraceError(f"{reader.path}: holds {', '.join(sorted(reader.unknown.counts))}, which a copy by this "
-                             "program would lose; --drop-unknown copies the rest")
+            raise TraceError(
+                f"{reader.path}: holds {', '.join(sorted(reader.unknown.counts))}, which a copy by this "
+                "program would lose; --drop-unknown copies the rest"
+            )
 
 
 def _guarded(rows: Iterable[Record], readers: Iterable[Reader], dropped: bool) -> Iterator[Record]:
@@ -127,22 +137,31 @@
         expected, missing = 0, 0
         for place in reader.places():
             frame = place.frame
-            blocks, records, raw, filters = (blocks + 1, records + frame.records, raw + frame.raw,
-                                             filters + frame.filter)
+            blocks, records, raw, filters = (
+                blocks + 1,
+                records + frame.records,
+                raw + frame.raw,
+                filters + frame.filter,
+            )
             first = frame.first if first is None else min(first, frame.first)
             last = max(last, frame.last)
             missing += max(0, frame.number - expected)
             expected = frame.number + 1
         for name, value in reader.description.items():
             click.echo(f"{name}: {value}")
-        click.echo(f"records: {records} in {blocks} blocks, {reader.size} bytes"
-                   + (f", {reader.size / records:.2f} a record" if records else ""))
+        click.echo(
+            f"records: {records} in {blocks} blocks, {reader.size} bytes"
+            + (f", {reader.size / records:.2f} a record" if records else "")
+        )
         if first is not None:
             click.echo(f"from {shown(first)} ({first})")
             click.echo(f"to   {shown(last)} ({last}), {(last - first) / 1e6:.3f} s")
             click.echo(f"unpacked: {raw} bytes; index: {filters} bytes")
-        click.echo(f"damaged: {reader.damaged} places, {missing} blocks known to be missing"
-                   if reader.damaged or missing else "damaged: nothing (frames; `recover` reads all)")
+        click.echo(
+            f"damaged: {reader.damaged} places, {missing} blocks known to be missing"
+            if reader.damaged or missing
+            else "damaged: nothing (frames; `recover` reads all)"
+        )
         _tell(reader)
 
 
@@ -189,11 +208,25 @@
 @command("export")
 @click.argument("file", type=FILE)
 @_filters
-@click.option("-o", "--output", "out", type=click.Path(path_type=Path, allow_dash=True), default="-",
-              help="A file for the lines; - is standard output.")
+@click.option(
+    "-o",
+    "--output",
+    "out",
+    type=click.Path(path_type=Path, allow_dash=True),
+    default="-",
+    help="A file for the lines; - is standard output.",
+)
 @force
-def export(file: Path, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None,
-           out: Path, force: bool) -> None:
+def export(
+    file: Path,
+    since: int | None,
+    until: int | None,
+    id_: str | None,
+    host: str | None,
+    cls: str | None,
+    out: Path,
+    force: bool,
+) -> None:
     """Print FILE's records as lines of JSON, all or those that the options name."""
     with ExitStack() as stack:
         reader = _open(stack, file)
@@ -211,8 +244,17 @@
 @click.option("-o", "--output", "out", type=OUT, required=True)
 @force
 @drop_unknown
-def cut(file: Path, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None,
-        out: Path, force: bool, drop_unknown: bool) -> None:
+def cut(
+    file: Path,
+    since: int | None,
+    until: int | None,
+    id_: str | None,
+    host: str | None,
+    cls: str | None,
+    out: Path,
+    force: bool,
+    drop_unknown: bool,
+) -> None:
     """Copy the part of FILE that the options name to a trace of its own."""
     with ExitStack() as stack:
         reader = _open(stack, file)
@@ -236,8 +278,10 @@
         count = _write(rows, out, force, _copied(reader.description, recovered_from=file.name))
         _tell(reader)
         lost = sum(d.records for d in reader.damage)
-        click.echo(f"{count} records recovered; {reader.damaged} damaged places, with {lost} records known to be lost",
-                   err=True)
+        click.echo(
+            f"{count} records recovered; {reader.damaged} damaged places, with {lost} records known to be lost",
+            err=True,
+        )
 
 
 @command("merge")
@@ -280,8 +324,10 @@
         return f"{name}: NOT ALIGNED, taken as it is: {told['note']}"
     links = ", ".join(f"{count} {kind}s" for kind, count in told["links"].items())
     note = f"; {told['note']}" if told["note"] else ""
-    return (f"{name}: {told['offset_us'] / 1000:+.3f} ms against {told['against']}, within "
-            f"{told['within_us'] / 1000:.3f} ms (95%), drift {told['drift_ppm']:+.1f} ppm; by {links}{note}")
+    return (
+        f"{name}: {told['offset_us'] / 1000:+.3f} ms against {told['against']}, within "
+        f"{told['within_us'] / 1000:.3f} ms (95%), drift {told['drift_ppm']:+.1f} ppm; by {links}{note}"
+    )
 
 
 @command("anonymise")
@@ -314,8 +360,9 @@
                 for record in progress(again.read(), "checking"):
                     check(record)
 
-        kept: dict[str, Any] = {k: reader.description[k] for k in ("instance", "hall", "program", "opened_us")
-                if k in reader.description}
+        kept: dict[str, Any] = {
+            k: reader.description[k] for k in ("instance", "hall", "program", "opened_us") if k in reader.description
+        }
         count = _write(checked(), out, force, {**kept, "pseudonyms": pseudonyms.key_name, "hosts_hidden": hosts})
         _tell(reader)
         click.echo(f"{count} records, no identity left in any text", err=True)
@@ -340,8 +387,9 @@
         yield "  ".join(cells).rstrip()
 
 
-FORMAT = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table",
-                      show_default=True)
+FORMAT = click.option(
+    "--format", "form", type=click.Choice(["table", "json", "csv"]), default="table", show_default=True
+)
 
 
 def _print(rows: list[dict[str, Any]], form: str, whole: Any) -> None:
@@ -366,8 +414,16 @@
 @_filters
 @click.option("--window", type=click.FloatRange(min=0.001), metavar="SECONDS", help="Also by windows of time.")
 @FORMAT
-def summarise(file: Path, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None,
-              window: float | None, form: str) -> None:
+def summarise(
+    file: Path,
+    since: int | None,
+    until: int | None,
+    id_: str | None,
+    host: str | None,
+    cls: str | None,
+    window: float | None,
+    form: str,
+) -> None:
     """Sum up outcomes, attempts, moves and the time to up by class, tenant, host, hall and window."""
     with ExitStack() as stack:
         reader = _open(stack, file)
@@ -397,8 +453,11 @@
     with ExitStack() as stack:
         readers = [_open(stack, file) for file in (a, b)]
         one, other = (_summary(r, progress(r.read(), str(r.path.name))) for r in readers)
-        rows = [row for row in differences(one, other)
-                if all_ or row["beyond_chance"] or (row["z"] is None and row["a"] != row["b"])]
+        rows = [
+            row
+            for row in differences(one, other)
+            if all_ or row["beyond_chance"] or (row["z"] is None and row["a"] != row["b"])
+        ]
         _print(rows, form, rows)
         for reader in readers:
             _tell(reader)
--- a/bramblestile/cli/work.py
+++ b/bramblestile/cli/work.py
@@ -86,8 +86,10 @@
 def history(ctx: click.Context) -> None:
     """Show the plans that have ended."""
     for one in asked(ctx, "work", "/v1/work/history"):
-        click.echo(f"{one['id']}: {one['done']} of {one['machines']} done, {one['dropped']} dropped"
-                   f"{', aborted' if one['aborted'] else ''}; {one['reason']}")
+        click.echo(
+            f"{one['id']}: {one['done']} of {one['machines']} done, {one['dropped']} dropped"
+            f"{', aborted' if one['aborted'] else ''}; {one['reason']}"
+        )
 
 
 @group.command()
--- a/bramblestile/dialect.py
+++ b/bramblestile/dialect.py
@@ -61,8 +61,7 @@
     def fail(self) -> None:
         """Local reply: failed, nothing is promised."""
 
-    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta,
-                         may_send: CanSend) -> Answer:
+    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
         """One upstream request. ``may_send`` is held after dialling, while the first bytes go."""
 
 
--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -43,8 +43,17 @@
 class Gossip:
     """``patient``: another process of this balancer may hold the address a while longer; OSError otherwise."""
 
-    def __init__(self, listen: Address, me: Fact, seeds: Sequence[Address], keys: Sequence[bytes], counters: Counters,
-                 pace: Pace | None = None, patient: bool = False, seed: str = "") -> None:
+    def __init__(
+        self,
+        listen: Address,
+        me: Fact,
+        seeds: Sequence[Address],
+        keys: Sequence[bytes],
+        counters: Counters,
+        pace: Pace | None = None,
+        patient: bool = False,
+        seed: str = "",
+    ) -> None:
         life = now() // MICROSECOND << 11 | int.from_bytes(os.urandom(2), "big") & 2047
         me = Fact(me.name, me.host, me.port, life, hall=me.hall, version=me.version)
         self._counters, self._log = counters, Log(part="fleet")
@@ -147,18 +156,33 @@
             m = self._members
             rows = [_row(m.me, 0, {})] if m.holder is None else []
             for known in m.known.values():
-                rows.append(_row(known.fact, milliseconds(at - known.since),
-                                 {"by": sorted(known.suspicion.accusers)} if known.suspicion else {}))
+                rows.append(
+                    _row(
+                        known.fact,
+                        milliseconds(at - known.since),
+                        {"by": sorted(known.suspicion.accusers)} if known.suspicion else {},
+                    )
+                )
             figures = {key: m.board.all(key, at) for key in ("traffic",)}
             health, holder, counts = m.health.score, m.holder, dict(m.counts)
-            slow = {"trip_ms": milliseconds(m.trips.usual), "trip_bound_ms": milliseconds(m.trips.bound),
-                    "late_ms": milliseconds(m.late), "news": len(m.rumours)}
+            slow = {
+                "trip_ms": milliseconds(m.trips.usual),
+                "trip_bound_ms": milliseconds(m.trips.bound),
+                "late_ms": milliseconds(m.late),
+                "news": len(m.rumours),
+            }
         for row in rows:
             for key, told in figures.items():
                 if row["name"] in told:
                     row[key] = _figure(told[row["name"]])
-        return {"me": m.me.name, "muted_by": None if holder is None else f"{holder.host}:{holder.port}",
-                "health": health, "counts": counts, **slow, "members": sorted(rows, key=lambda row: str(row["name"]))}
+        return {
+            "me": m.me.name,
+            "muted_by": None if holder is None else f"{holder.host}:{holder.port}",
+            "health": health,
+            "counts": counts,
+            **slow,
+            "members": sorted(rows, key=lambda row: str(row["name"])),
+        }
 
     # The thread.
 
@@ -292,9 +316,17 @@
 
 
 def _row(fact: Fact, for_ms: int, more: dict[str, Any]) -> dict[str, Any]:
-    return {"name": fact.name, "state": State(fact.state).name.lower(), "for_ms": for_ms,
-            "at": f"{fact.host}:{fact.port}", "life": fact.life, "turn": fact.turn, "hall": fact.hall,
-            "version": fact.version, **more}
+    return {
+        "name": fact.name,
+        "state": State(fact.state).name.lower(),
+        "for_ms": for_ms,
+        "at": f"{fact.host}:{fact.port}",
+        "life": fact.life,
+        "turn": fact.turn,
+        "hall": fact.hall,
+        "version": fact.version,
+        **more,
+    }
 
 
 def _figure(raw: bytes) -> float | None:
--- a/bramblestile/fleet/members.py
+++ b/bramblestile/fleet/members.py
@@ -158,8 +158,9 @@
 class Members:
     """``seeds``: addresses asked while nobody is known, and now and then afterwards."""
 
-    def __init__(self, me: Fact, seeds: Iterable[Address], random: Random, at: timedelta,
-                 pace: Pace | None = None) -> None:
+    def __init__(
+        self, me: Fact, seeds: Iterable[Address], random: Random, at: timedelta, pace: Pace | None = None
+    ) -> None:
         self.me, self.pace, self.random = me, pace or Pace(), random
         self.seeds = [s for s in seeds if s != (me.host, me.port)]
         self.known: dict[str, Known] = {}
@@ -248,8 +249,11 @@
             self._judge(at, out)
         if at >= self._gossip_at and len(self.rumours) and self.holder is None:
             self._gossip_at = at + max(self.pace.gossip, self.late * self.pace.strain)
-            out += [(self._address(f), self._message(Kind.GOSSIP, at=at)) for f in self._some(self.pace.fanout)
-                    if len(self.rumours)]
+            out += [
+                (self._address(f), self._message(Kind.GOSSIP, at=at))
+                for f in self._some(self.pace.fanout)
+                if len(self.rumours)
+            ]
         if at >= self._sync_at:
             self._sync_at = at + self.pace.sync * (0.75 + self.random.random() / 2)
             out += self._digest(at)
@@ -308,8 +312,9 @@
                 known = self.known.get(probe.name)
                 if known is not None:
                     helpers = self._some(self.pace.helpers, but=probe.name)
-                    out += [(self._address(f), self._message(Kind.ASK, number, about=known.fact, at=at))
-                            for f in helpers]
+                    out += [
+                        (self._address(f), self._message(Kind.ASK, number, about=known.fact, at=at)) for f in helpers
+                    ]
             if at >= self._failed_at(probe):
                 del self._probes[number]
                 self._ended[number] = probe
@@ -372,8 +377,9 @@
         if known.suspicion is None:
             others = self.size - 2  # who could confirm
             slow = self._slow()
-            known.suspicion = Suspicion(at, self.pace.least * slow, self.pace.most * slow,
-                                        min(self.pace.accusers, max(0, others)))
+            known.suspicion = Suspicion(
+                at, self.pace.least * slow, self.pace.most * slow, min(self.pace.accusers, max(0, others))
+            )
             self._set(known, known.fact, State.SUSPECT, at, by)
         if not known.suspicion.accuse(by):
             return False
@@ -455,8 +461,12 @@
             return []
         self.health.change(-1)
         known = self.known.get(probe.name)
-        if known is not None and known.suspicion is not None and self.me.name not in known.suspicion.accusers \
-                and len(known.suspicion.accusers) < 2:
+        if (
+            known is not None
+            and known.suspicion is not None
+            and self.me.name not in known.suspicion.accusers
+            and len(known.suspicion.accusers) < 2
+        ):
             # We have just reached it, and but one other could not. It contradicts by itself; we need not wait for that.
             known.suspicion = None
             self._set(known, msgspec.structs.replace(known.fact, by=""), State.ALIVE, at)
@@ -559,8 +569,9 @@
     def _summary(self) -> bytes:
         """A word for each bucket of names. The dead are left out: they come and go at other moments with each member,
         and would keep two of one mind comparing for ever."""
-        return b"".join((mine ^ board).to_bytes(4, "big") for mine, board in zip(self._words, self.board.words,
-                                                                                 strict=True))
+        return b"".join(
+            (mine ^ board).to_bytes(4, "big") for mine, board in zip(self._words, self.board.words, strict=True)
+        )
 
     def _mark(self, fact: Fact) -> None:
         """Into the digest, or out of it again."""
@@ -577,7 +588,7 @@
         mine, theirs = self._summary(), got.digest
         if len(theirs) != len(mine):
             return []
-        differ = [b for b in range(BUCKETS) if mine[b * 4:b * 4 + 4] != theirs[b * 4:b * 4 + 4]]
+        differ = [b for b in range(BUCKETS) if mine[b * 4 : b * 4 + 4] != theirs[b * 4 : b * 4 + 4]]
         if not differ:
             return []
         self.random.shuffle(differ)
@@ -604,8 +615,13 @@
                         entries.append(part)
             if room < 100 or len(told) >= BUCKETS // 2 or len(facts) + 8 > MOST_FACTS:
                 break
-        return Message(Kind.PAGE, self.me if self.holder is None else None, facts=tuple(facts[:MOST_FACTS]),
-                       entries=tuple(entries[:MOST_FACTS]), want=bytes(told) if ask else b"")
+        return Message(
+            Kind.PAGE,
+            self.me if self.holder is None else None,
+            facts=tuple(facts[:MOST_FACTS]),
+            entries=tuple(entries[:MOST_FACTS]),
+            want=bytes(told) if ask else b"",
+        )
 
     def _in_bucket(self, bucket: int) -> list[Fact]:
         names = sorted(self._buckets[bucket])
@@ -623,14 +639,23 @@
 
     # Helpers.
 
-    def _message(self, kind: Kind, number: int = 0, *, about: Fact | None = None, facts: tuple[Fact, ...] = (),
-                 digest: bytes = b"", news: bool = True, at: timedelta) -> Message:
+    def _message(
+        self,
+        kind: Kind,
+        number: int = 0,
+        *,
+        about: Fact | None = None,
+        facts: tuple[Fact, ...] = (),
+        digest: bytes = b"",
+        news: bool = True,
+        at: timedelta,
+    ) -> Message:
         """With as much news as there is room for."""
         me = self.me if self.holder is None else None
         if not news or me is None or not len(self.rumours):
             return Message(kind, me, number, about, facts, (), digest)
         used = self._frame() + sum(len(encoded(f)) for f in (*facts, *([about] if about else [])))
-        picked = self.rumours.pick(LARGEST - used, self.size)[:MOST_FACTS - 1]
+        picked = self.rumours.pick(LARGEST - used, self.size)[: MOST_FACTS - 1]
         told = tuple(i for i in picked if isinstance(i, Fact))
         entries = tuple(e for i in picked if isinstance(i, Entry) and (e := self.board.left(i, at)) is not None)
         return Message(kind, me, number, about, facts + told, entries, digest)
@@ -656,8 +681,9 @@
                 found[name] = self.known[name].fact
         return list(found.values())
 
-    def _set(self, known: Known, fact: Fact, state: State, at: timedelta, by: str = "",
-             accusers: tuple[str, ...] = ()) -> None:
+    def _set(
+        self, known: Known, fact: Fact, state: State, at: timedelta, by: str = "", accusers: tuple[str, ...] = ()
+    ) -> None:
         before = known.state
         known.since = at
         self._store(known, _as(fact, state, by))
--- a/bramblestile/fleet/messages.py
+++ b/bramblestile/fleet/messages.py
@@ -104,16 +104,27 @@
         if fact is not None:
             _check(fact)
     for entry in got.entries:
-        if not (_is_name(entry.owner) and _is_name(entry.key) and len(entry.value) <= LONGEST_VALUE
-                and 0 <= entry.version < 1 << 63 and 0 <= entry.left_ms < 1 << 40):
+        if not (
+            _is_name(entry.owner)
+            and _is_name(entry.key)
+            and len(entry.value) <= LONGEST_VALUE
+            and 0 <= entry.version < 1 << 63
+            and 0 <= entry.left_ms < 1 << 40
+        ):
             raise MessageError("an entry with a part out of bounds")
     return got
 
 
 def _check(fact: Fact) -> None:
-    if not (_is_name(fact.name) and 0 < len(fact.host) <= LONGEST_NAME and 0 < fact.port < 1 << 16
-            and 0 <= fact.life < 1 << 63 and 0 <= fact.turn < 1 << 31 and fact.state in State._value2member_map_
-            and all(len(text.encode()) <= LONGEST_NAME for text in (fact.by, fact.hall, fact.version))):
+    if not (
+        _is_name(fact.name)
+        and 0 < len(fact.host) <= LONGEST_NAME
+        and 0 < fact.port < 1 << 16
+        and 0 <= fact.life < 1 << 63
+        and 0 <= fact.turn < 1 << 31
+        and fact.state in State._value2member_map_
+        and all(len(text.encode()) <= LONGEST_NAME for text in (fact.by, fact.hall, fact.version))
+    ):
         raise MessageError("a fact with a part out of bounds")
 
 
--- a/bramblestile/fleet/sealing.py
+++ b/bramblestile/fleet/sealing.py
@@ -55,11 +55,11 @@
         head = len(MARK)
         if len(datagram) < OVERHEAD or datagram[:head] != MARK:
             raise SealError("foreign")
-        mac, rest = datagram[head:head + _MAC], datagram[head + _MAC:]
+        mac, rest = datagram[head : head + _MAC], datagram[head + _MAC :]
         if not any(hmac.compare_digest(mac, self._mac(key, rest)) for key in self.keys):
             raise SealError("unproven")
         sender, to, count = _NUMBERS.unpack_from(rest)
-        message = rest[_NUMBERS.size:]
+        message = rest[_NUMBERS.size :]
         if to != self.life:
             # One without a message is never answered: two members could tell each other their lives for ever.
             raise SealError("elsewhere", self.close(b"", sender) if message else None)
--- a/bramblestile/lab/drawn.py
+++ b/bramblestile/lab/drawn.py
@@ -59,8 +59,9 @@
             process.share = 1.0
         if sim.until(sim.agreed, HEALED) >= HEALED:
             views = {p.name: len(p.members.living()) for p in sim.living()}
-            raise BrokenError(f"not of one mind {HEALED} after the faults: {len(sim.living())} run, seen {views}; "
-                              f"{self.log}")
+            raise BrokenError(
+                f"not of one mind {HEALED} after the faults: {len(sim.living())} run, seen {views}; {self.log}"
+            )
 
     def _say(self, text: str) -> None:
         self.log.append(f"{(self.sim.at - self._began).total_seconds():.2f} {text}")
@@ -129,10 +130,17 @@
             if known.fact.age < self._ages.get(key, (0, 0)):
                 raise BrokenError(f"{process.name}: the age of {name} went back to {known.fact.age}; {self.log}")
             self._ages[key] = known.fact.age
-        fresh, self._looked = self.sim.changes[self._looked:], len(self.sim.changes)
+        fresh, self._looked = self.sim.changes[self._looked :], len(self.sim.changes)
         for at, viewer, change in fresh:
             target = self.sim.by_name.get(change.name)
-            if change.after is State.DEAD and target is not None and target.running \
-                    and self._calm(change.name) and self._calm(viewer):
-                raise BrokenError(f"{(at - self._began).total_seconds():.2f}: {change.name}, undisturbed, is dead to "
-                                  f"{viewer}, by {change.by}; {self.log}")
+            if (
+                change.after is State.DEAD
+                and target is not None
+                and target.running
+                and self._calm(change.name)
+                and self._calm(viewer)
+            ):
+                raise BrokenError(
+                    f"{(at - self._began).total_seconds():.2f}: {change.name}, undisturbed, is dead to "
+                    f"{viewer}, by {change.by}; {self.log}"
+                )
--- a/bramblestile/lab/page.py
+++ b/bramblestile/lab/page.py
@@ -13,8 +13,18 @@
 from bramblestile.lab.play import Played
 
 matplotlib.use("Agg")
-COLOURS = {"waiting": "#e8e8e8", "claimed": "#c9d7e8", "leaving": "#f2b134", "empty": "#e07b39", "out": "#b33951",
-           "back": "#8e7cc3", "cold": "#6fa8dc", "done": "#93c47d", "held": "#000000", "dropped": "#999999"}
+COLOURS = {
+    "waiting": "#e8e8e8",
+    "claimed": "#c9d7e8",
+    "leaving": "#f2b134",
+    "empty": "#e07b39",
+    "out": "#b33951",
+    "back": "#8e7cc3",
+    "cold": "#6fa8dc",
+    "done": "#93c47d",
+    "held": "#000000",
+    "dropped": "#999999",
+}
 PERCENTS = (50, 75, 90, 95, 99, 99.9, 100)
 
 
--- a/bramblestile/lab/play.py
+++ b/bramblestile/lab/play.py
@@ -49,11 +49,24 @@
 def play(script: Script, folder: Path) -> Played:
     """Never raises for what does not hold: that is in ``wrong``, and the folder has the record to see why."""
     played = Played(script, folder)
-    more = {} if "cold_s" not in script.server else {
-        "rules": SETTINGS["rules"] | {"cold_us": int(script.server["cold_s"] * 1e6)}}
+    more = (
+        {}
+        if "cold_s" not in script.server
+        else {"rules": SETTINGS["rules"] | {"cold_us": int(script.server["cold_s"] * 1e6)}}
+    )
     try:
-        with Stage(folder, script.balancers, seed=script.seed, halls=script.halls, fleet={}, voters=script.voters,
-                   servers=script.servers, streams=script.streams, settings=more, **script.server) as stage:
+        with Stage(
+            folder,
+            script.balancers,
+            seed=script.seed,
+            halls=script.halls,
+            fleet={},
+            voters=script.voters,
+            servers=script.servers,
+            streams=script.streams,
+            settings=more,
+            **script.server,
+        ) as stage:
             _Play(script, stage, played).run()
     except (FailedError, OSError) as error:
         played.wrong.append(str(error))
@@ -122,8 +135,9 @@
         while not self._ended.wait(LOOKS_EVERY):
             figures = self.town.figures()
             hosts = {h.name: round(h.load(), 3) if h.up else -1 for h in self.town.hosts.values()}
-            self.stage.record.add("look", **{k: figures[k] for k in ("up", "moves", "refused", "cuts", "failed")},
-                                  loads=hosts)
+            self.stage.record.add(
+                "look", **{k: figures[k] for k in ("up", "moves", "refused", "cuts", "failed")}, loads=hosts
+            )
 
     def _steps(self) -> None:
         """Each when its time has come; then until all has come to its end."""
@@ -135,8 +149,10 @@
         while True:
             at = self._since()
             if at > self.script.within:
-                raise FailedError(f"not at its end within {self.script.within:g} s: "
-                                  f"{str(work.shown)[:600] if work is not None else ''}")
+                raise FailedError(
+                    f"not at its end within {self.script.within:g} s: "
+                    f"{str(work.shown)[:600] if work is not None else ''}"
+                )
             seen = {stage for _, _, stage in work.seen} if work is not None else set()
             for step in [s for s in waiting if (at >= s.at if s.at is not None else s.when in seen)]:
                 waiting.remove(step)
@@ -179,9 +195,13 @@
         programs = [stage.programs[name] for name in who if name in stage.programs]
         key = f"{step.do} {' '.join(who)[:80]} {self._since():.3f}"
         stage.record.add("step", do=step.do, who=who, for_s=step.span, value=step.value)
-        faults = {"cut": (split, {"loss": 1.0}), "mute": (out_of, {"loss": 1.0}), "deaf": (into, {"loss": 1.0}),
-                  "loss": (split, {"loss": step.value}),
-                  "delay": (split, {"delay": S * step.value, "jitter": S * step.value})}
+        faults = {
+            "cut": (split, {"loss": 1.0}),
+            "mute": (out_of, {"loss": 1.0}),
+            "deaf": (into, {"loss": 1.0}),
+            "loss": (split, {"loss": step.value}),
+            "delay": (split, {"delay": S * step.value, "jitter": S * step.value}),
+        }
         if step.do in faults:
             between, figures = faults[step.do]
             stage.put(key, Fault(between(who), **figures))  # type: ignore[arg-type]
@@ -216,9 +236,12 @@
         played.figures = {
             **{key: after[key] - before[key] for key in ("cuts", "refused", "failed", "moves")},
             "moves_per_client": (after["moves"] - before["moves"]) / max(1, self.script.clients),
-            "gap_p99_s": played.gaps.get_value_at_percentile(99) / 1000, "took_s": self._since(),
-            "done": stages.count("done"), "dropped": stages.count("dropped"),
+            "gap_p99_s": played.gaps.get_value_at_percentile(99) / 1000,
+            "took_s": self._since(),
+            "done": stages.count("done"),
+            "dropped": stages.count("dropped"),
             "told_dead": sum(not {viewer, member} & gone for viewer, member in dead),  # nobody did anything to either
-            "fallen": sum(host.fallen for host in self.town.hosts.values())}
+            "fallen": sum(host.fallen for host in self.town.hosts.values()),
+        }
         if self.work is not None:
             played.wrong += self.work.broken
--- a/bramblestile/lab/processes.py
+++ b/bramblestile/lab/processes.py
@@ -23,8 +23,15 @@
 class Program:
     """One process of the program at a time, under one name."""
 
-    def __init__(self, name: str, folder: Path, config: dict[str, Any], record: Record, reader: Reader,
-                 command: list[str] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        config: dict[str, Any],
+        record: Record,
+        reader: Reader,
+        command: list[str] | None = None,
+    ) -> None:
         self.name, self.folder, self.config, self.record = name, folder, config, record
         self._reader = reader
         self._command = command or [sys.executable, "-m", "bramblestile"]
@@ -38,11 +45,15 @@
         self.paused = False
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config))
-        environment = {**{k: v for k, v in os.environ.items() if not k.startswith("EDGE_")},
-                       "EDGE_CONFIG": str(path), "TMPDIR": str(self.folder / "tmp")}
+        environment = {
+            **{k: v for k, v in os.environ.items() if not k.startswith("EDGE_")},
+            "EDGE_CONFIG": str(path),
+            "TMPDIR": str(self.folder / "tmp"),
+        }
         # The other processes' pipes must not live on in this one.
-        self.process = subprocess.Popen(self._command, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL,
-                                        env=environment, close_fds=True)
+        self.process = subprocess.Popen(
+            self._command, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, env=environment, close_fds=True
+        )
         self._reader.follow(self.name, self.process)
         self.record.add("started", who=self.name, pid=self.process.pid)
 
--- a/bramblestile/lab/record.py
+++ b/bramblestile/lab/record.py
@@ -37,8 +37,11 @@
 
     def of(self, what: str, since: float = 0.0, **fields: Any) -> list[Event]:
         with self.news:
-            return [e for e in self.events if e["what"] == what and e["at"] >= since
-                    and all(e.get(k) == v for k, v in fields.items())]
+            return [
+                e
+                for e in self.events
+                if e["what"] == what and e["at"] >= since and all(e.get(k) == v for k, v in fields.items())
+            ]
 
     def wait(self, holds: Callable[[], bool], within: timedelta) -> bool:
         """Until it holds: asked whenever something is seen."""
--- a/bramblestile/lab/script.py
+++ b/bramblestile/lab/script.py
@@ -12,8 +12,23 @@
 
 from bramblestile.work.order import Stage
 
-KINDS = ("pause", "kill", "restart", "starve", "cut", "deaf", "mute", "loss", "delay", "reset", "kill-server",
-         "list-down", "abort", "resume-plan", "pause-plan")
+KINDS = (
+    "pause",
+    "kill",
+    "restart",
+    "starve",
+    "cut",
+    "deaf",
+    "mute",
+    "loss",
+    "delay",
+    "reset",
+    "kill-server",
+    "list-down",
+    "abort",
+    "resume-plan",
+    "pause-plan",
+)
 MUST = ("done", "dropped", "cuts", "refused", "failed", "moves_per_client", "gap_p99_s", "told_dead", "fallen")
 MOST_PROCESSES, MOST_SERVERS, MOST_CLIENTS, MOST_STEPS = 300, 200, 5000, 200
 
@@ -89,13 +104,22 @@
     must = _table(values, "must")
     _known("must.", must, *MUST)
     return Script(
-        name, int(_number(values, "", "seed", 1, 0, 1 << 62)), _number(values, "", "within_s", 120, 1, 7200),
-        _number(values, "", "lasts_s", 0, 0, 7200), balancers, int(_number(fleet, "fleet.", "halls", 2, 1, 16)),
-        voters, streams, int(_number(servers, "servers.", "count", 6, 1, MOST_SERVERS)), server,
+        name,
+        int(_number(values, "", "seed", 1, 0, 1 << 62)),
+        _number(values, "", "within_s", 120, 1, 7200),
+        _number(values, "", "lasts_s", 0, 0, 7200),
+        balancers,
+        int(_number(fleet, "fleet.", "halls", 2, 1, 16)),
+        voters,
+        streams,
+        int(_number(servers, "servers.", "count", 6, 1, MOST_SERVERS)),
+        server,
         int(_number(clients, "clients.", "count", 0, 0, MOST_CLIENTS)),
-        _number(clients, "clients.", "over_s", 1, 0, 600), plan,
+        _number(clients, "clients.", "over_s", 1, 0, 600),
+        plan,
         tuple(_step(n, step) for n, step in enumerate(steps, 1)),
-        {key: _number(must, "must.", key, 0, 0, 1e9) for key in must})
+        {key: _number(must, "must.", key, 0, 0, 1e9) for key in must},
+    )
 
 
 def _step(number: int, step: Any) -> Step:
@@ -112,9 +136,14 @@
         raise ScriptError(f"{at}at_s: either this or when")
     if "when" in step and when not in list(Stage):
         raise ScriptError(f"{at}when: {when!r} is none of {', '.join(Stage)}")
-    return Step(do, tuple(who), _number(step, at, "at_s", 0, 0, 7200) if "at_s" in step else None, when,
-                _number(step, at, "for_s", 0, 0.01, 7200) if "for_s" in step else None,
-                _number(step, at, "value", 0, 0, 1000))
+    return Step(
+        do,
+        tuple(who),
+        _number(step, at, "at_s", 0, 0, 7200) if "at_s" in step else None,
+        when,
+        _number(step, at, "for_s", 0, 0.01, 7200) if "for_s" in step else None,
+        _number(step, at, "value", 0, 0, 1000),
+    )
 
 
 def _known(where: str, table: Mapping[str, Any], *keys: str) -> None:
--- a/bramblestile/lab/simulated.py
+++ b/bramblestile/lab/simulated.py
@@ -67,8 +67,9 @@
 
     # The stage.
 
-    def start(self, name: str, seeds: Iterable[str] = (), address: Address | None = None,
-              life: int | None = None) -> Process:
+    def start(
+        self, name: str, seeds: Iterable[str] = (), address: Address | None = None, life: int | None = None
+    ) -> Process:
         """Another start of the same name at its address takes the place of the process before."""
         self._starts += 1
         old = self.by_name.get(name)
--- a/bramblestile/lab/stage.py
+++ b/bramblestile/lab/stage.py
@@ -31,11 +31,18 @@
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "preview", "objective_us": 300_000, "deadline_us": 1_800_000}],
     "parties": [{"name": "vestland", "portion": 1.0}],
-    "membership_mode": "on_request", "weights": "listed",
+    "membership_mode": "on_request",
+    "weights": "listed",
     "report": {"how": "probe", "names": ["x0", "latency_ms", "queue"]},
     "limits": {"probes": True, "may_cancel": True, "try_limit": 6, "retry_after": True, "max_retry_after_us": 400_000},
-    "rules": {"cold_from": 0.2, "cold_us": 10_000_000, "fall_multiple": 4, "fall_us": 3_000_000,
-              "drain_grace_us": 1_000_000}}
+    "rules": {
+        "cold_from": 0.2,
+        "cold_us": 10_000_000,
+        "fall_multiple": 4,
+        "fall_us": 3_000_000,
+        "drain_grace_us": 1_000_000,
+    },
+}
 
 
 class FailedError(Exception):
@@ -63,10 +70,22 @@
     and ``server``'s figures. ``streams``: the links between balancers, servers, list and clients have faults too, not
     those among the balancers only: an address for each pair."""
 
-    def __init__(self, folder: Path, balancers: int, *, seed: int = 1, halls: int = 2,
-                 hosts: Iterable[dict[str, Any]] = (), fleet: dict[str, Any] | None = None,
-                 settings: dict[str, Any] | None = None, more: dict[str, Any] | None = None,
-                 voters: int = 0, servers: int = 0, streams: bool = False, **server: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        balancers: int,
+        *,
+        seed: int = 1,
+        halls: int = 2,
+        hosts: Iterable[dict[str, Any]] = (),
+        fleet: dict[str, Any] | None = None,
+        settings: dict[str, Any] | None = None,
+        more: dict[str, Any] | None = None,
+        voters: int = 0,
+        servers: int = 0,
+        streams: bool = False,
+        **server: Any,
+    ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.folder = folder
         self.record = Record(folder / "record.jsonl")
@@ -80,20 +99,24 @@
         self.town: Town | None = None
         self._doors: dict[str, str] = {}
         if servers:
-            made = [Host(f"s-{n:02}", (f"127.{self._octet}.200.{n + 1}", 8000), f"hall-{n % halls}", **server)
-                    for n in range(servers)]
+            made = [
+                Host(f"s-{n:02}", (f"127.{self._octet}.200.{n + 1}", 8000), f"hall-{n % halls}", **server)
+                for n in range(servers)
+            ]
             doors = {name: f"127.{self._octet}.{128 + n // 250}.{n % 250 + 1}" for name, n in self._number.items()}
             self._doors = doors if streams else {}
-            self.town = Town(self.record, made, (f"127.{self._octet}.254.2", 8500), seed, links=self.links,
-                             doors=self._doors)
+            self.town = Town(
+                self.record, made, (f"127.{self._octet}.254.2", 8500), seed, links=self.links, doors=self._doors
+            )
             self.town.names = {self.address(name, 0, PORT): name for name in self.names}
             self.town.fronts = self._fronts
             hosts = self.town.rows()
         self.hosts = list(hosts) or [{"host": "s-0", "dial": f"127.{self._octet}.254.1:9", "health": "in_service"}]
         self._settings = SETTINGS | {"balancers": max(1, balancers)} | (settings or {})
         self._halls, self._fleet, self._more = halls, fleet, more or {}
-        self.programs = {name: Program(name, folder / name, self._config(name), self.record, self._reader)
-                         for name in self.names}
+        self.programs = {
+            name: Program(name, folder / name, self._config(name), self.record, self._reader) for name in self.names
+        }
         self._stopped = False
 
     def address(self, name: str, group: int, port: int) -> Address:
@@ -105,15 +128,22 @@
         listen, shown = self.address(name, 0, GOSSIPED), self.address(name, 64, GOSSIPED)
         hall = f"hall-{self._number[name] % self._halls}"
         config: dict[str, Any] = {
-            "name": name, "listen": "{}:{}".format(*self.address(name, 0, PORT)),
+            "name": name,
+            "listen": "{}:{}".format(*self.address(name, 0, PORT)),
             "management": "{}:{}".format(*self.address(name, 0, MANAGED)),
             "settings": self._settings | {"zone": hall},
             "known": {"seq": 1, "hosts": self.town.rows(name) if self._doors and self.town else self.hosts},
-            "seed": f"{self._number[name] + 1:x}"}
+            "seed": f"{self._number[name] + 1:x}",
+        }
         if self._fleet is not None:
             seeds = ["{}:{}".format(*self.address(n, 64, GOSSIPED)) for n in self.names[:3]]
-            config["fleet"] = {"listen": "{}:{}".format(*listen), "advertise": "{}:{}".format(*shown), "seeds": seeds,
-                               "hall": hall, **self._fleet}
+            config["fleet"] = {
+                "listen": "{}:{}".format(*listen),
+                "advertise": "{}:{}".format(*shown),
+                "seeds": seeds,
+                "hall": hall,
+                **self._fleet,
+            }
             self.switch.plug(name, listen, shown)
         if self.town is not None:
             config["discovery"] = f"{self._doors.get(name, f'127.{self._octet}.254.2')}:8500"
@@ -130,8 +160,9 @@
     def __enter__(self) -> Stage:
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         if error is not None:
             self.record.add("failed", text=str(error))
         self.stop()
@@ -185,8 +216,9 @@
         try:
             with socket.create_connection(self.address(name, 0, MANAGED), within) as sock:
                 sock.settimeout(within)
-                sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-                             + body)
+                sock.sendall(
+                    f"{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
+                )
                 got = b""
                 while piece := sock.recv(65536):
                     got += piece
@@ -203,6 +235,7 @@
 
     def views(self, names: Iterable[str] | None = None) -> dict[str, set[str]]:
         """Whom each of these takes to live, suspects among them."""
+
         def one(name: str) -> tuple[str, set[str]]:
             rows = self.fleet(name).get("members", [])
             return name, {row["name"] for row in rows if row["state"] in ("alive", "suspect")}
@@ -221,9 +254,18 @@
             return all(view == wanted for view in views.values())
 
         began = self.record.now()
-        self.wait(holds, within, lambda: "not of one mind: " + "; ".join(
-            f"{name} lacks {sorted(wanted - view)[:5]} and has {sorted(view - wanted)[:5]}"
-            for name, view in views.items() if view != wanted)[:600])
+        self.wait(
+            holds,
+            within,
+            lambda: (
+                "not of one mind: "
+                + "; ".join(
+                    f"{name} lacks {sorted(wanted - view)[:5]} and has {sorted(view - wanted)[:5]}"
+                    for name, view in views.items()
+                    if view != wanted
+                )[:600]
+            ),
+        )
         return self.record.now() - began
 
     def wait(self, holds: Callable[[], bool], within: timedelta, why: Callable[[], str] = lambda: "") -> None:
--- a/bramblestile/lab/streams.py
+++ b/bramblestile/lab/streams.py
@@ -17,8 +17,9 @@
 class Stream:
     """``near``: the stand-in; ``far``: the process of the program."""
 
-    def __init__(self, links: Links, near: str, far: str, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, links: Links, near: str, far: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.near, self.far = near, far
         self._links, self._reader, self._writer = links, reader, writer
         self._out: asyncio.Queue[bytes] = asyncio.Queue(64)
--- a/bramblestile/lab/switch.py
+++ b/bramblestile/lab/switch.py
@@ -80,8 +80,9 @@
                     self._pass(source, target, datagram)
                     continue
                 self._count += 1
-                heapq.heappush(self._held, (time.monotonic() + after.total_seconds(), self._count, source, target,
-                                            datagram))
+                heapq.heappush(
+                    self._held, (time.monotonic() + after.total_seconds(), self._count, source, target, datagram)
+                )
 
     def _pass(self, source: str, target: str, datagram: bytes) -> None:
         sock = self._by_name.get(source) or self._by_name[target]
--- a/bramblestile/lab/town.py
+++ b/bramblestile/lab/town.py
@@ -62,8 +62,11 @@
     first_lines: list[float] = field(default_factory=list)  # when each OPEN came
 
     def room(self) -> float:
-        part = 1.0 if not self.born else min(1.0, self.cold_from + (1 - self.cold_from)
-                                             * (time.time() - self.born) / self.cold_s)
+        part = (
+            1.0
+            if not self.born
+            else min(1.0, self.cold_from + (1 - self.cold_from) * (time.time() - self.born) / self.cold_s)
+        )
         return self.slots * part
 
     def load(self) -> float:
@@ -89,8 +92,16 @@
     """``fronts``: the balancers that a front would send to now, by address. ``doors``: for each balancer an address of
     its own at which it finds the list and all servers, so that the links between them can have faults of ``links``."""
 
-    def __init__(self, record: Record, hosts: list[Host], listed: Address | None = None, seed: int = 1,
-                 pace: float = 0.002, links: Links | None = None, doors: dict[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        record: Record,
+        hosts: list[Host],
+        listed: Address | None = None,
+        seed: int = 1,
+        pace: float = 0.002,
+        links: Links | None = None,
+        doors: dict[str, str] | None = None,
+    ) -> None:
         self.record = record
         self.hosts = {host.name: host for host in hosts}
         self.clients: list[Client] = []
@@ -152,12 +163,16 @@
         if self._listed is not None:
             self._list_server = await asyncio.start_server(self._list, *self._listed, backlog=1024)
         for name, address in self._doors.items():
-            self._list_doors.append(await asyncio.start_server(self._door(name, LIST, self._list), address,
-                                                               self._listed[1] if self._listed else 0, backlog=64))
+            self._list_doors.append(
+                await asyncio.start_server(
+                    self._door(name, LIST, self._list), address, self._listed[1] if self._listed else 0, backlog=64
+                )
+            )
         self._task(self._look())
 
     def ask_fronts(self) -> None:
         """From now on clients come only to balancers that answer the front's PING."""
+
         async def begin() -> None:
             self._task(self._ask_fronts())
 
@@ -189,8 +204,10 @@
             return self._door(name, host.name, serve)
 
         host.server = await asyncio.start_server(serve, *host.address, backlog=512)
-        host.doors = [await asyncio.start_server(serve_from(name), address, self._door_port(host), backlog=64)
-                      for name, address in self._doors.items()]
+        host.doors = [
+            await asyncio.start_server(serve_from(name), address, self._door_port(host), backlog=64)
+            for name, address in self._doors.items()
+        ]
         host.up, host.fallen, host.over_since = True, False, None
 
     async def _down(self, host: Host) -> None:
@@ -229,6 +246,7 @@
 
     def _door(self, far: str, near: str, serve: Callable[[Reader, Writer, str], Coroutine[Any, Any, None]]) -> Any:
         """What serves a connection of one balancer over a link that may have faults."""
+
         async def opened(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             stream = Stream(self._links, near, far, reader, writer)
             self._streams.add(stream)
@@ -254,7 +272,7 @@
                     writer.write(b"PONG\r\n")
                 elif word == b"STATS":
                     load = host.load()
-                    writer.write(f"PONG x0={load:.3f},latency_ms={2 + 30 * load ** 4:.1f},queue=0\r\n".encode())
+                    writer.write(f"PONG x0={load:.3f},latency_ms={2 + 30 * load**4:.1f},queue=0\r\n".encode())
                 elif word == b"OPEN" and writer not in host.open:
                     host.first_lines.append(time.time())
                     if host.load() >= 1.2:
@@ -291,9 +309,19 @@
     def rows(self, asker: str = "") -> list[dict[str, Any]]:
         """As this balancer is told them."""
         door = self._doors.get(asker)
-        return [{"host": h.name, "dial": "{}:{}".format(*(h.address if door is None else (door, self._door_port(h)))),
-                 "site": h.hall, "class": "m", "block": 1,
-                 "health": h.health, "share": 1.0, "born_ms": int(h.born * 1000)} for h in self.hosts.values()]
+        return [
+            {
+                "host": h.name,
+                "dial": "{}:{}".format(*(h.address if door is None else (door, self._door_port(h)))),
+                "site": h.hall,
+                "class": "m",
+                "block": 1,
+                "health": h.health,
+                "share": 1.0,
+                "born_ms": int(h.born * 1000),
+            }
+            for h in self.hosts.values()
+        ]
 
     async def _list(self, reader: Reader, writer: Writer, asker: str = "") -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError, ValueError, IndexError):
@@ -367,8 +395,10 @@
                 await asyncio.sleep(LOOKS_EVERY)
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*front), GIVES_UP)
             name = f"{self._random.getrandbits(64):016x}"
-            writer.write(f"OPEN {name} {client.number:x} c=preview,t=vestland,d={GIVES_UP * 1000:.0f},"
-                         f"g={client.number % 40:x}{',again=1' if again else ''}\r\n".encode())
+            writer.write(
+                f"OPEN {name} {client.number:x} c=preview,t=vestland,d={GIVES_UP * 1000:.0f},"
+                f"g={client.number % 40:x}{',again=1' if again else ''}\r\n".encode()
+            )
             line = (await asyncio.wait_for(reader.readline(), GIVES_UP + 0.5)).split()
             if line[:1] != [b"UP"]:
                 return self._not_up(client, line)
@@ -421,7 +451,13 @@
         """Sums over all clients so far."""
         at = time.time()
         down = sum(c.down + (at - c.since if c.since is not None else 0.0) for c in self.clients)
-        return {"clients": len(self.clients), "up": sum(c.up for c in self.clients),
-                "moves": sum(c.moves for c in self.clients), "refused": sum(c.refused for c in self.clients),
-                "failed": sum(c.failed for c in self.clients), "cuts": sum(c.cuts for c in self.clients),
-                "down_s": down, "paused_s": sum(c.paused for c in self.clients)}
+        return {
+            "clients": len(self.clients),
+            "up": sum(c.up for c in self.clients),
+            "moves": sum(c.moves for c in self.clients),
+            "refused": sum(c.refused for c in self.clients),
+            "failed": sum(c.failed for c in self.clients),
+            "cuts": sum(c.cuts for c in self.clients),
+            "down_s": down,
+            "paused_s": sum(c.paused for c in self.clients),
+        }
--- a/bramblestile/lab/working.py
+++ b/bramblestile/lab/working.py
@@ -77,7 +77,7 @@
         self.at = timedelta(days=20_000)
         self.began = self.at
         self.names = [f"b{n:03}" for n in range(balancers)]
-        self.voters = self.names[:min(voters, balancers)]
+        self.voters = self.names[: min(voters, balancers)]
         self.machines = {f"m{n:02}": Machine(f"m{n:02}", f"hall-{n % 2}") for n in range(machines)}
         self.processes: dict[str, Process] = {}
         self.cuts: dict[str, Callable[[str, str], bool]] = {}
@@ -167,8 +167,11 @@
         at = self.hand_clock(process)
         if at >= process.hand.due:
             quiet = process.hand.alone if at >= process.busy else [n for n in process.hand.alone if n[:1] == BALANCER]
-            to = process.hand.leader if process.hand.leader and self.random.random() < 0.7 else self.random.choice(
-                self.voters)
+            to = (
+                process.hand.leader
+                if process.hand.leader and self.random.random() < 0.7
+                else self.random.choice(self.voters)
+            )
             self._send(process.name, to, process.hand.poll(at, quiet, {}))
         self._look(process)
 
@@ -276,22 +279,36 @@
         if not of_balancers:
             return self.fleet(order)
         assert process.foreman is not None
-        return {BALANCER + name: Seen(f"hall-{int(name[1:]) % 2}", votes=name in self.voters,
-                                      leads=name == process.name, up=process.foreman.serves(name, at))
-                for name in order.roster}
+        return {
+            BALANCER + name: Seen(
+                f"hall-{int(name[1:]) % 2}",
+                votes=name in self.voters,
+                leads=name == process.name,
+                up=process.foreman.serves(name, at),
+            )
+            for name in order.roster
+        }
 
     def fleet(self, order: Order) -> dict[str, Seen]:
         warm = 4 * SECOND
-        return {m.name: Seen(m.hall, 1.0, 1.0 if m.born is None else min(1.0, 0.2 + 0.8 * ((self.at - m.born) / warm)),
-                             m.up) for m in self.machines.values()}
+        return {
+            m.name: Seen(
+                m.hall, 1.0, 1.0 if m.born is None else min(1.0, 0.2 + 0.8 * ((self.at - m.born) / warm)), m.up
+            )
+            for m in self.machines.values()
+        }
 
     # Operators.
 
     def leader(self) -> Process | None:
         for name in self.voters:
             process = self.processes[name]
-            if process.running and not process.paused and process.replica is not None \
-                    and process.replica.leads_and_knows(self.clock(process)):
+            if (
+                process.running
+                and not process.paused
+                and process.replica is not None
+                and process.replica.leads_and_knows(self.clock(process))
+            ):
                 return process
         return None
 
@@ -404,8 +421,11 @@
                 self.restart(name)
         if not self.run(600 * SECOND, until=self._now_and_then(self.finished)):
             leader = self.leader()
-            shown = None if leader is None or leader.foreman is None else leader.foreman.shown(
-                self._order(leader), self.clock(leader))
+            shown = (
+                None
+                if leader is None or leader.foreman is None
+                else leader.foreman.shown(self._order(leader), self.clock(leader))
+            )
             self._broken(f"not at its end 10 min after the faults: {shown}")
         leader = self.leader()
         if leader is not None and any(m.stage not in OVER for m in self._order(leader).machines.values()):
@@ -429,8 +449,22 @@
         name = random.choice(near if random.random() < 0.6 else self.names)
         process = self.processes[name]
         span = SECOND * random.choice((0.5, 1, 2, 4, 8, 20, 45))
-        kind = random.choice(("kill", "restart", "pause", "pause", "alone", "split", "deaf", "mute", "loss", "clock",
-                              "machine", "all voters"))
+        kind = random.choice(
+            (
+                "kill",
+                "restart",
+                "pause",
+                "pause",
+                "alone",
+                "split",
+                "deaf",
+                "mute",
+                "loss",
+                "clock",
+                "machine",
+                "all voters",
+            )
+        )
         self.log.append(f"{(self.at - self.began).total_seconds():.2f} {kind} {name} {span.total_seconds()}")
         key = f"{kind} {self.at}"
         match kind:
--- a/bramblestile/lab/worksite.py
+++ b/bramblestile/lab/worksite.py
@@ -47,8 +47,14 @@
 
     def plan(self, machines: Iterable[str] | None = None, **more: Any) -> bytes:
         chosen = {} if "balancers" in more else {"machines": list(machines or self.town.hosts)}
-        values: dict[str, Any] = {**chosen, "reason": "new disks", "most_out": self.most_out, "least_capacity": 0.3,
-                                  "halls_apart": False, **more}
+        values: dict[str, Any] = {
+            **chosen,
+            "reason": "new disks",
+            "most_out": self.most_out,
+            "least_capacity": 0.3,
+            "halls_apart": False,
+            **more,
+        }
         return "\n".join(f"{key} = {json.dumps(value)}" for key, value in values.items()).encode()
 
     def ask(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
@@ -89,8 +95,13 @@
     def until(self, stage: str, machine: str | None = None, within: float = 30) -> str:
         """The machine that comes to this stage first, from now on."""
         at = len(self.seen)
-        self.wait(lambda: any(s == stage and machine in (None, m) for _, m, s in self.seen[at:])
-                  or (machine is not None and self.stages.get(machine) == stage), within)
+        self.wait(
+            lambda: (
+                any(s == stage and machine in (None, m) for _, m, s in self.seen[at:])
+                or (machine is not None and self.stages.get(machine) == stage)
+            ),
+            within,
+        )
         return next((m for _, m, s in self.seen[at:] if s == stage and machine in (None, m)), machine or "")
 
     def ended(self, within: float = 60) -> Counter[str]:
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -34,9 +34,19 @@
 class House:
     """What every request's life needs, made once at the start."""
 
-    def __init__(self, decisions: Decisions, cluster: Cluster, connections: Connections, counters: Counters,
-                 observer: Observer, connect_within: timedelta, drains: Callable[[str], None],
-                 dial: Upstream, tracing: Tracing | None = None, name: str = "") -> None:
+    def __init__(
+        self,
+        decisions: Decisions,
+        cluster: Cluster,
+        connections: Connections,
+        counters: Counters,
+        observer: Observer,
+        connect_within: timedelta,
+        drains: Callable[[str], None],
+        dial: Upstream,
+        tracing: Tracing | None = None,
+        name: str = "",
+    ) -> None:
         self.heir: Heir | None = None  # who goes on with what stands when this process ends; None: nobody
         self.decisions = decisions
         self.cluster = cluster
@@ -62,8 +72,9 @@
         house.tracing.to.request(self.arrived, house.name, request, asked.bound_to)
         self.log.debug("request", cls=asked.cls, tenant=asked.tenant)
 
-    def answer(self, at: timedelta, outcome: str, attempts: int, host: str | None = None,
-               wait_us: int | None = None) -> None:
+    def answer(
+        self, at: timedelta, outcome: str, attempts: int, host: str | None = None, wait_us: int | None = None
+    ) -> None:
         """The one answer; ``left`` is a downstream that waits for none."""
         self.house.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
         self.house.tracing.to.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
@@ -78,8 +89,17 @@
     """Top to bottom: admitted, sent as the module chooses, answered once; then carried until it ends."""
     house.counters.add("requests")
     arrived = now()
-    request = api.Request(asked.id, asked.cls, micros(max(asked.wait, NOTHING)), asked.tenant, asked.key,
-                          asked.group, asked.load_hint, asked.is_retry, asked.is_return)
+    request = api.Request(
+        asked.id,
+        asked.cls,
+        micros(max(asked.wait, NOTHING)),
+        asked.tenant,
+        asked.key,
+        asked.group,
+        asked.load_hint,
+        asked.is_retry,
+        asked.is_return,
+    )
     visit = house.decisions.enter(asked.id, arrived + asked.wait)
     if visit is None:
         # Not told as a request: its id is another's, and its story would be mixed up with that one's.
@@ -120,8 +140,9 @@
                 if answer.downstream_left:
                     told.answer(at, "left", number + 1)
                     house.decisions.tell(api.ClientGone(asked.id))
-                house.decisions.tell(api.Outcome(asked.id, number, choice.backend, answer.status, took,
-                                                 finished=answer.downstream_left))
+                house.decisions.tell(
+                    api.Outcome(asked.id, number, choice.backend, answer.status, took, finished=answer.downstream_left)
+                )
                 if answer.downstream_left:
                     return
                 number += 1
@@ -130,8 +151,9 @@
             _stand(house, answer.standing, choice.backend, visit, told, at, number + 1)
             house.decisions.tell(api.Opened(asked.id, number, choice.backend, took))
             status = _carry(house, answer.standing, at, request)
-            house.decisions.tell(api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent),
-                                             finished=True))
+            house.decisions.tell(
+                api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent), finished=True)
+            )
             return
     finally:
         house.decisions.release(visit)
@@ -143,12 +165,21 @@
     if host is None or not house.cluster.takes_work(host):
         return NotUp(Status.NO_ROUTE)
     house.counters.add("upstream_requests")
-    return downstream.upstream_request(partial(house.dial, host), span(choice.until_us), house.connect_within,
-                                       partial(house.cluster.sending, host))
-
-
-def _stand(house: House, standing: Standing, host: str, visit: Visit, told: _Told, at: timedelta,
-           attempts: int, resumed: bool = False) -> None:
+    return downstream.upstream_request(
+        partial(house.dial, host), span(choice.until_us), house.connect_within, partial(house.cluster.sending, host)
+    )
+
+
+def _stand(
+    house: House,
+    standing: Standing,
+    host: str,
+    visit: Visit,
+    told: _Told,
+    at: timedelta,
+    attempts: int,
+    resumed: bool = False,
+) -> None:
     """From here on it can be moved: whoever moves it finds its host."""
     told.answer(at, "served", attempts, host)
     _hold(house, standing, host, visit)
@@ -211,14 +242,20 @@
     house.decisions.tell(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
 
 
-def _resume(house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: Visit,
-            told: _Told) -> None:
+def _resume(
+    house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: Visit, told: _Told
+) -> None:
     """A connection that its upstream host already holds: it goes there as it is, with no choice to make."""
     name = asked.bound_to or ""
     sent = now()
     host = house.cluster.find(name)
-    answer: Answer = NotUp(Status.NO_ROUTE) if host is None else downstream.upstream_request(
-        partial(house.dial, host), sent + asked.wait, asked.wait, partial(nullcontext, True))
+    answer: Answer = (
+        NotUp(Status.NO_ROUTE)
+        if host is None
+        else downstream.upstream_request(
+            partial(house.dial, host), sent + asked.wait, asked.wait, partial(nullcontext, True)
+        )
+    )
     at = now()
     took = micros(at - sent)
     house.counters.add("resumed")
--- a/bramblestile/log.py
+++ b/bramblestile/log.py
@@ -45,8 +45,12 @@
 class _Json(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         at = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
-        said: dict[str, Any] = {"time": at, "level": record.levelname.lower(), "event": record.msg,
-                                **getattr(record, "fields", {})}
+        said: dict[str, Any] = {
+            "time": at,
+            "level": record.levelname.lower(),
+            "event": record.msg,
+            **getattr(record, "fields", {}),
+        }
         if record.exc_info:
             said["exception"] = self.formatException(record.exc_info)
         return json.dumps(said, ensure_ascii=False, separators=(",", ":"))
@@ -131,8 +135,12 @@
             set_up()
         _logger.log(level, event, extra={"fields": said}, exc_info=exception)
         for sink in _sinks:
-            sink(logging.getLevelName(level).lower(), event,
-                 " ".join(f"{k}={v}" for k, v in said.items() if k != "id"), said)
+            sink(
+                logging.getLevelName(level).lower(),
+                event,
+                " ".join(f"{k}={v}" for k, v in said.items() if k != "id"),
+                said,
+            )
 
 
 def add_sink(sink: Sink) -> None:
--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -118,8 +118,9 @@
             born = back
         return replace(host, state=state, weight=host.weight * share * self._lean.get(host.id, 1.0), born=born)
 
-    def obey(self, suspended: Collection[str], back: Mapping[str, timedelta],
-             lean: Mapping[str, float] | None = None) -> list[str]:
+    def obey(
+        self, suspended: Collection[str], back: Mapping[str, timedelta], lean: Mapping[str, float] | None = None
+    ) -> list[str]:
         """Operators' orders, all that hold. Returns the listed hosts that are seen in another way since."""
         with self._lock:
             before = {name: self._seen(host) for name, host in self._listed.items()}
@@ -178,5 +179,9 @@
     def _takes_work(self, host: UpstreamHost) -> bool:
         held = self._listed.get(host.id)
         seen = None if held is None else self._seen(held)
-        return (seen is not None and seen.state is State.RUNNING and seen.born == host.born
-                and (self.may is None or self.may(host.id)))
+        return (
+            seen is not None
+            and seen.state is State.RUNNING
+            and seen.born == host.born
+            and (self.may is None or self.may(host.id))
+        )
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -169,8 +169,14 @@
     def _freeze(self) -> bool:
         """Both directions have halted, and nobody is on the way out. Otherwise none halts any more."""
         with self.lock, self.turn:
-            ending = (self.moved or self.move_wanted or self.refused or self.left or self.reset_down
-                      or self.last in (Kind.LAST, Kind.AWAY))
+            ending = (
+                self.moved
+                or self.move_wanted
+                or self.refused
+                or self.left
+                or self.reset_down
+                or self.last in (Kind.LAST, Kind.AWAY)
+            )
             self.frozen = self.halted_down and self.halted_up and not ending
             if not self.frozen:
                 self.halt = None
@@ -245,7 +251,7 @@
             self._hear(messages, observer)  # afterwards: what it leads to, a move say, must not overtake it
             if not goes_on:
                 return
-            buffer[:have - passed] = buffer[passed:have]
+            buffer[: have - passed] = buffer[passed:have]
             have -= passed
 
     def _hear(self, messages: list[Message], observer: Observer) -> None:
@@ -304,7 +310,7 @@
                     sockets.write(self.upstream, [view[:passed]])
                 except OSError:
                     return  # the other thread sees how the upstream host ended
-                buffer[:have - passed] = buffer[passed:have]
+                buffer[: have - passed] = buffer[passed:have]
                 have -= passed
             if poll is not None and self._halts(poll, view[:have], up=True):
                 return
@@ -426,8 +432,9 @@
 class Connections:
     """All standing connections, and the two threads that look after them."""
 
-    def __init__(self, on_mute: Callable[[Standing, timedelta], None],
-                 on_hush: Callable[[Standing, timedelta], None]) -> None:
+    def __init__(
+        self, on_mute: Callable[[Standing, timedelta], None], on_hush: Callable[[Standing, timedelta], None]
+    ) -> None:
         self._lock = threading.Lock()
         self._all: dict[str, Standing] = {}
         self._moves: SimpleQueue[str] = SimpleQueue()
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -34,8 +34,15 @@
 
 
 def backend(host: UpstreamHost) -> api.Backend:
-    return api.Backend(host.id, host.zone, host.cell, host.weight,
-                       None if host.born is None else micros(host.born), host.kind, host.state)
+    return api.Backend(
+        host.id,
+        host.zone,
+        host.cell,
+        host.weight,
+        None if host.born is None else micros(host.born),
+        host.kind,
+        host.state,
+    )
 
 
 def reason(event: api.Event) -> str:
@@ -65,8 +72,15 @@
 
 
 class Decisions:
-    def __init__(self, settings: api.Settings, seed: int, cluster: Cluster, counters: Counters,
-                 tracing: Tracing | None = None, name: str = "") -> None:
+    def __init__(
+        self,
+        settings: api.Settings,
+        seed: int,
+        cluster: Cluster,
+        counters: Counters,
+        tracing: Tracing | None = None,
+        name: str = "",
+    ) -> None:
         self._balancer = Witness(settings, seed)
         self._tracing = tracing or Tracing()
         self._name = name  # the front's, for the trace
@@ -181,8 +195,9 @@
         for action in later:
             self._carry_out(action)
 
-    def _trace(self, tracer: Tracer, at: timedelta, event: api.Event, views: Sequence[View],
-               actions: Sequence[api.Action]) -> None:
+    def _trace(
+        self, tracer: Tracer, at: timedelta, event: api.Event, views: Sequence[View], actions: Sequence[api.Action]
+    ) -> None:
         """Tells the tracer what the module heard and what it made of it, outside the lock."""
         if isinstance(event, api.ProbeResult):
             tracer.probed(at, self._name, event)
--- a/bramblestile/operations/http.py
+++ b/bramblestile/operations/http.py
@@ -13,10 +13,20 @@
 LONGEST_BODY = 16384  # bytes: a plan of work for 1,000 machines; the other calls' bodies mean nothing
 MOST_FIELDS = 64
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict",
-           413: "Content Too Large", 417: "Expectation Failed", 431: "Request Header Fields Too Large",
-           501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    431: "Request Header Fields Too Large",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 _TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
 
@@ -76,12 +86,12 @@
         if len(self._body) < self._length:
             return None
         self.wants_continue = False
-        return Call(self._call.method, self._call.path, bytes(self._body[:self._length]))
+        return Call(self._call.method, self._call.path, bytes(self._body[: self._length]))
 
     def _head_end(self) -> int | None:
         """A bare LF ends a line too; empty lines before the request line are passed over, as RFC 9112 asks."""
         while self._held[:2] == b"\r\n" or self._held[:1] == b"\n":
-            del self._held[:2 if self._held[:1] == b"\r" else 1]
+            del self._held[: 2 if self._held[:1] == b"\r" else 1]
         found = [at + len(mark) for mark in (b"\r\n\r\n", b"\n\n", b"\n\r\n") if (at := self._held.find(mark)) >= 0]
         return min(found) if found else None
 
@@ -130,7 +140,7 @@
     parts = []
     for part in path[1:].split(b"/"):
         for at in [n for n, c in enumerate(part) if c == ord("%")]:
-            if len(part) < at + 3 or any(c not in b"0123456789abcdefABCDEF" for c in part[at + 1:at + 3]):
+            if len(part) < at + 3 or any(c not in b"0123456789abcdefABCDEF" for c in part[at + 1 : at + 3]):
                 raise FaultError(400, "a broken percent-coding in the path")
         try:
             parts.append(unquote_to_bytes(part).decode())
@@ -143,6 +153,8 @@
     """The answer's bytes; a HEAD's has no body but tells its length."""
     body = answer.text.encode() + b"\n"
     allow = f"Allow: {answer.allow}\r\n" if answer.allow else ""
-    head = (f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
-            f"Content-Length: {len(body)}\r\n{allow}Cache-Control: no-store\r\nConnection: close\r\n\r\n")
+    head = (
+        f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
+        f"Content-Length: {len(body)}\r\n{allow}Cache-Control: no-store\r\nConnection: close\r\n\r\n"
+    )
     return head.encode() + (b"" if method == "HEAD" else body)
--- a/bramblestile/operations/kept.py
+++ b/bramblestile/operations/kept.py
@@ -57,8 +57,11 @@
         if since is None:
             return self
         back = {h: t for h, t in self.back.items() if at - t < BACK_KEPT}
-        return replace(self, suspended=_without(self.suspended, host),
-                       back=back | {host: born if born is not None and since < born < at else at})
+        return replace(
+            self,
+            suspended=_without(self.suspended, host),
+            back=back | {host: born if born is not None and since < born < at else at},
+        )
 
 
 def _without(table: dict[str, timedelta], host: str) -> dict[str, timedelta]:
@@ -69,8 +72,14 @@
     def table(times: dict[str, timedelta]) -> dict[str, int]:
         return {h: t // MICROSECOND for h, t in sorted(times.items())}
 
-    return json.dumps({"version": VERSION, "suspended_us": table(orders.suspended), "back_us": table(orders.back),
-                       "drained": orders.drained}).encode()
+    return json.dumps(
+        {
+            "version": VERSION,
+            "suspended_us": table(orders.suspended),
+            "back_us": table(orders.back),
+            "drained": orders.drained,
+        }
+    ).encode()
 
 
 def read(raw: bytes) -> Orders:
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -245,7 +245,7 @@
         """As much as goes at once; the rest when there is room. Then our end, which lets the caller read to its end."""
         try:
             while caller.out:
-                caller.out = caller.out[caller.sock.send(caller.out):]
+                caller.out = caller.out[caller.sock.send(caller.out) :]
         except BlockingIOError:
             self._poll.modify(caller.sock, select.POLLIN | select.POLLOUT)
             return
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -247,9 +247,13 @@
     owner = at if at.has("settings") else top
     limits, spans = owner.section("settings").section("limits"), top.section("spans")
     return FrontConfig(
-        name=top.text("name", "bramblestile"), listen=at.address("listen"),
+        name=top.text("name", "bramblestile"),
+        listen=at.address("listen"),
         discovery=at.address("discovery") if at.has("discovery") else None,
-        seed=_seed(top), known_version=known.integer("seq", 0), known=hosts, settings=_settings(owner),
+        seed=_seed(top),
+        known_version=known.integer("seq", 0),
+        known=hosts,
+        settings=_settings(owner),
         connect_within=limits.micros("connect_timeout_us", CONNECT_WITHIN),
         probe_within=spans.micros("probe_us", PROBE_WITHIN),
         checks=_checks(at.section("checks"), {h.id for h in hosts}),
@@ -279,12 +283,20 @@
     if resumed > 1:
         raise ConfigError(f"{at.key('resumed_cost')}: {resumed!r} is not a part, over 0 to 1, of a full handshake's")
     return TlsConfig(
-        path=at.path, **files, name=name, least=at.one_of("min_version", ("1.2", "1.3"), "1.2"), unverified=unverified,
+        path=at.path,
+        **files,
+        name=name,
+        least=at.one_of("min_version", ("1.2", "1.3"), "1.2"),
+        unverified=unverified,
         first=at.flag("handshake_first", False),
         handshake=timedelta(milliseconds=at.integer("handshake_ms", 500, 10)),
-        full_per_s=at.number("full_per_s", 40.0, 0.1), burst=at.number("burst", 8.0, 1), resumed=resumed,
-        tickets=at.integer("tickets", 32), ticket_age=timedelta(seconds=at.integer("ticket_s", 3600, 1)),
-        warn=timedelta(days=at.integer("warn_days", 14)))
+        full_per_s=at.number("full_per_s", 40.0, 0.1),
+        burst=at.number("burst", 8.0, 1),
+        resumed=resumed,
+        tickets=at.integer("tickets", 32),
+        ticket_age=timedelta(seconds=at.integer("ticket_s", 3600, 1)),
+        warn=timedelta(days=at.integer("warn_days", 14)),
+    )
 
 
 def _lobby(limits: Section) -> int:
@@ -304,8 +316,9 @@
             raise ConfigError(f"{one.path}: no upstream host of this name is listed")
         if one.has("agent") == one.has("http"):
             raise ConfigError(f"{one.path}: agent or http, one of the two")
-        made[name] = (agent.Check(one.address("agent")) if one.has("agent")
-                      else agent.Check(one.address("http"), _path(one)))
+        made[name] = (
+            agent.Check(one.address("agent")) if one.has("agent") else agent.Check(one.address("http"), _path(one))
+        )
     return made
 
 
@@ -317,8 +330,9 @@
 
 
 def _health(at: Section) -> HealthConfig:
-    return HealthConfig(at.address("agent") if at.has("agent") else None,
-                        at.address("http") if at.has("http") else None, _path(at))
+    return HealthConfig(
+        at.address("agent") if at.has("agent") else None, at.address("http") if at.has("http") else None, _path(at)
+    )
 
 
 def _store(at: Section) -> StoreConfig:
@@ -356,8 +370,10 @@
     for key, text in (("name", own), ("hall", at.text("hall", hall or "-"))):
         if len(text.encode()) > LONGEST_MEMBER:
             raise ConfigError(f"{at.key(key)}: longer than {LONGEST_MEMBER} bytes")
-    probe, least, most = (timedelta(milliseconds=at.integer(key, default, low)) for key, default, low in (
-        ("probe_ms", 200, 50), ("suspect_ms", 700, 100), ("suspect_most_ms", 4000, 100)))
+    probe, least, most = (
+        timedelta(milliseconds=at.integer(key, default, low))
+        for key, default, low in (("probe_ms", 200, 50), ("suspect_ms", 700, 100), ("suspect_most_ms", 4000, 100))
+    )
     if most < least:
         raise ConfigError(f"{at.key('suspect_most_ms')}: less than suspect_ms")
     return FleetConfig(own, listen, advertised, tuple(found), keys, at.text("hall", hall or "-"), probe, least, most)
@@ -370,8 +386,12 @@
     if not top.has("management"):
         raise ConfigError(f"{at.path}: needs a management address, where it is asked")
     voters = at.values.get("voters")
-    if not isinstance(voters, list) or not all(isinstance(v, str) and v for v in voters) \
-            or len(set(voters)) != len(voters) or len(voters) not in (1, 3, 5):
+    if (
+        not isinstance(voters, list)
+        or not all(isinstance(v, str) and v for v in voters)
+        or len(set(voters)) != len(voters)
+        or len(voters) not in (1, 3, 5)
+    ):
         raise ConfigError(f"{at.key('voters')}: {voters!r:.80} is not a list of 1, 3 or 5 members' names")
     directory = Path(at.text("directory")) if at.has("directory") else None
     if fleet.name in voters and (directory is None or not directory.is_dir()):
@@ -407,10 +427,16 @@
     if total_mb < 2 * file_mb:
         raise ConfigError(f"{at.key('total_mb')}: {total_mb!r} has no room for two files of {file_mb!r} MB")
     return TraceConfig(
-        directory=Path(at.text("directory")), instance=at.text("instance", name), hall=at.text("hall", hall or "-"),
-        flush=timedelta(milliseconds=at.integer("flush_ms", 1000, 20)), buffer=at.integer("buffer", 8192, 64),
-        file_bytes=int(file_mb * (1 << 20)), file_age=timedelta(seconds=at.number("file_s", 3600, 1)),
-        total_bytes=int(total_mb * (1 << 20)), keep={cls: keep.number(cls, 1.0) for cls in keep.values})
+        directory=Path(at.text("directory")),
+        instance=at.text("instance", name),
+        hall=at.text("hall", hall or "-"),
+        flush=timedelta(milliseconds=at.integer("flush_ms", 1000, 20)),
+        buffer=at.integer("buffer", 8192, 64),
+        file_bytes=int(file_mb * (1 << 20)),
+        file_age=timedelta(seconds=at.number("file_s", 3600, 1)),
+        total_bytes=int(total_mb * (1 << 20)),
+        keep={cls: keep.number(cls, 1.0) for cls in keep.values},
+    )
 
 
 def _nats(top: Section) -> NatsConfig:
@@ -426,16 +452,23 @@
 
     users = at.section("users")
     greeting = nats.Greeting(
-        name=front.name, address=front.listen, default=user(at.section("default")),
+        name=front.name,
+        address=front.listen,
+        default=user(at.section("default")),
         users={name: user(users.section(name)) for name in users.values},
-        max_payload=at.integer("max_payload", 1 << 20, 1))
+        max_payload=at.integer("max_payload", 1 << 20, 1),
+    )
     return NatsConfig(**{f: getattr(front, f) for f in FrontConfig.__slots__}, greeting=greeting)
 
 
 def read(values: Mapping[str, Any], environment: Mapping[str, str] | None = None) -> Config:
     """The checked configuration. The platform's variables fill in what the file leaves out."""
-    named = {"name": "EDGE_NAME", "listen": "EDGE_LISTEN", "discovery": "EDGE_DISCOVERY",
-             "management": "EDGE_MANAGEMENT"}
+    named = {
+        "name": "EDGE_NAME",
+        "listen": "EDGE_LISTEN",
+        "discovery": "EDGE_DISCOVERY",
+        "management": "EDGE_MANAGEMENT",
+    }
     given = {key: environment[var] for key, var in named.items() if environment and var in environment}
     top = Section({**given, **values})
     if not top.has("listen") and not top.has("nats"):
@@ -443,19 +476,37 @@
     lines = _front(top, top) if top.has("listen") else None
     nats_ = _nats(top) if top.has("nats") else None
     settings = [front.settings for front in (lines, nats_) if front is not None]
-    trace = None if not top.has("trace") else _trace(
-        top.section("trace"), top.text("name", "bramblestile"), settings[0].zone,
-        {c.name for s in settings for c in s.classes})
+    trace = (
+        None
+        if not top.has("trace")
+        else _trace(
+            top.section("trace"),
+            top.text("name", "bramblestile"),
+            settings[0].zone,
+            {c.name for s in settings for c in s.classes},
+        )
+    )
     said = top.section("log")
-    fleet = None if not top.has("fleet") else _fleet(
-        top.section("fleet"), top.text("name", "bramblestile"), settings[0].zone)
-    return Config(lines, nats_, _health(top.section("health")),
-                  _store(top.section("store")) if top.has("store") else None, _seed(top), trace,
-                  LogConfig(said.one_of("level", log.LEVELS, "info"), said.one_of("form", log.FORMS, "auto")),
-                  top.address("management") if top.has("management") else None,
-                  _inherited(environment or {}) if lines else None, fleet,
-                  _work(top, fleet) if top.has("work") else None,
-                  _kept_in(environment or {}), dict(values))
+    fleet = (
+        None
+        if not top.has("fleet")
+        else _fleet(top.section("fleet"), top.text("name", "bramblestile"), settings[0].zone)
+    )
+    return Config(
+        lines,
+        nats_,
+        _health(top.section("health")),
+        _store(top.section("store")) if top.has("store") else None,
+        _seed(top),
+        trace,
+        LogConfig(said.one_of("level", log.LEVELS, "info"), said.one_of("form", log.FORMS, "auto")),
+        top.address("management") if top.has("management") else None,
+        _inherited(environment or {}) if lines else None,
+        fleet,
+        _work(top, fleet) if top.has("work") else None,
+        _kept_in(environment or {}),
+        dict(values),
+    )
 
 
 # What the platform's file always holds. Other keys an operator may leave out of a later file on purpose.
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -83,9 +83,18 @@
         from bramblestile.trace.keeping import Limits
     except ImportError as error:
         raise ConfigError(f"trace: needs the extra 'trace' of this package ({error.name} is not installed)") from None
-    return recorder.Recorder(recorder.Plan(
-        plan.directory, plan.instance, plan.hall, plan.flush, plan.buffer,
-        Limits(plan.file_bytes, plan.file_age, plan.total_bytes), plan.keep), counters)
+    return recorder.Recorder(
+        recorder.Plan(
+            plan.directory,
+            plan.instance,
+            plan.hall,
+            plan.flush,
+            plan.buffer,
+            Limits(plan.file_bytes, plan.file_age, plan.total_bytes),
+            plan.keep,
+        ),
+        counters,
+    )
 
 
 def make_office(plan: WorkConfig, daemon: Daemon, gossip: Gossip, config: Config) -> Office:
@@ -94,8 +103,16 @@
 
     assert config.fleet is not None and config.management is not None
     try:
-        return office.Office(config.fleet.name, plan.voters, plan.directory, config.kept_in, gossip, daemon,
-                             daemon.counters, "{}:{}".format(*config.management))
+        return office.Office(
+            config.fleet.name,
+            plan.voters,
+            plan.directory,
+            config.kept_in,
+            gossip,
+            daemon,
+            daemon.counters,
+            "{}:{}".format(*config.management),
+        )
     except (JournalError, OSError) as error:
         raise ConfigError(f"work.directory: {error}") from None
 
@@ -109,8 +126,15 @@
     pace = members.Pace(period=plan.probe, answer=plan.probe * 0.4, least=plan.least, most=plan.most)
     host, port = plan.advertised
     with naming("fleet.listen", plan.listen):
-        return gossip.Gossip(plan.listen, messages.Fact(plan.name, host, port, 0, hall=plan.hall, version=__version__),
-                             plan.seeds, plan.keys, counters, pace, patient)
+        return gossip.Gossip(
+            plan.listen,
+            messages.Fact(plan.name, host, port, 0, hall=plan.hall, version=__version__),
+            plan.seeds,
+            plan.keys,
+            counters,
+            pace,
+            patient,
+        )
 
 
 class Daemon:
@@ -137,8 +161,10 @@
         self._recalling = threading.Lock()
         self._recalled: list[dict[str, Any]] | None = []  # what the process before knew, until it can be taken
         self._asked = 0, now()  # requests that had come when the fleet was last told
-        self.kept = Kept(config.kept_in if config.management is not None else None,
-                         "nats" if config.lines is None else config.lines.name)
+        self.kept = Kept(
+            config.kept_in if config.management is not None else None,
+            "nats" if config.lines is None else config.lines.name,
+        )
         self._ordering = threading.Lock()  # one order at a time
         self._ordered: SimpleQueue[list[tuple[Front, list[str]]]] = SimpleQueue()
         self._drained_since: timedelta | None = None
@@ -147,8 +173,11 @@
         self._planned = threading.Event()
         self.management: Server | None = None
         self.succession: Succession | None = None
-        self.gossip = None if config.fleet is None else make_gossip(
-            config.fleet, self.counters, patient=config.inherited is not None)
+        self.gossip = (
+            None
+            if config.fleet is None
+            else make_gossip(config.fleet, self.counters, patient=config.inherited is not None)
+        )
         self.office: Office | None = None
         self._bound: Bound | None = None
         if self.gossip is not None:
@@ -174,8 +203,9 @@
             # Before the fronts take descriptors. Another process of this balancer may have the address a while longer.
             operators = Operators(self, self.counters)
             with naming("management", self.config.management):
-                self.management = Server(self.config.management, operators, self.counters,
-                                         patient=self.config.inherited is not None)
+                self.management = Server(
+                    self.config.management, operators, self.counters, patient=self.config.inherited is not None
+                )
             self.management.start()
             for run in (self._run_orders, self._run_plans):
                 threading.Thread(target=run, name=run.__name__, daemon=True).start()
@@ -191,9 +221,10 @@
         threading.Thread(target=self._become_ready, name="ready", daemon=True).start()
         if self.config.store is not None and self.store is not None and self.peers is not None:
             self._start_store(self.config.store, self.store, self.peers)
-        asked = (("agent", self.health.agent, "agent_check", lambda sock: agent.answer_agent(sock, self.is_well)),
-                 ("http", self.health.http, "health", lambda sock: agent.answer_http(sock, self.is_well,
-                                                                                   self.health.path)))
+        asked = (
+            ("agent", self.health.agent, "agent_check", lambda sock: agent.answer_agent(sock, self.is_well)),
+            ("http", self.health.http, "health", lambda sock: agent.answer_http(sock, self.is_well, self.health.path)),
+        )
         for key, address, name, answer in asked:
             if address is not None:
                 with naming(f"health.{key}", address):
@@ -264,8 +295,11 @@
     def _obey(self, orders: Orders) -> None:
         """The clusters first: they are asked at every send. The module hears of it in the orders' own thread."""
         bound = self._bound
-        closed, back, lean, left = (orders.suspended, orders.back, None, {}) if bound is None else (
-            bound.closed | orders.suspended.keys(), {**orders.back, **bound.back}, bound.lean, bound.left)
+        closed, back, lean, left = (
+            (orders.suspended, orders.back, None, {})
+            if bound is None
+            else (bound.closed | orders.suspended.keys(), {**orders.back, **bound.back}, bound.lean, bound.left)
+        )
         changed = [(front, front.cluster.obey(closed, back, lean)) for front in self.fronts]
         drained = orders.drained or (bound is not None and bound.drained)
         if drained != (self._drained_since is not None):
@@ -274,7 +308,8 @@
                 front.away = drained
         plans: dict[tuple[str | None, timedelta], Evacuation] = {
             (host, since): Evacuation(since + LEFT_FROM, since + LEFT_BY)
-            for host, since in {**left, **orders.suspended}.items()}
+            for host, since in {**left, **orders.suspended}.items()
+        }
         if self._drained_since is not None:
             began = self._drained_since
             plans[None, began] = Evacuation(began + DRAINED_FROM, began + DRAINED_BY)
@@ -415,9 +450,14 @@
             for host in front.cluster.listed():
                 load, masked = figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
-                found[host.id] = Seen(host.zone, host.weight, front.warmth(host), running,
-                                      load=(load or 0.0) * host.weight * front.warmth(host),
-                                      soon=front.warmth(host, LEFT_MEAN))
+                found[host.id] = Seen(
+                    host.zone,
+                    host.weight,
+                    front.warmth(host),
+                    running,
+                    load=(load or 0.0) * host.weight * front.warmth(host),
+                    soon=front.warmth(host, LEFT_MEAN),
+                )
         return found
 
     def look(self, hosts: Iterable[str]) -> None:
@@ -448,8 +488,9 @@
         answer: list[tuple[int, str]] = []
 
         def pass_on() -> None:
-            path = {"show": "", "history": "/history"}.get(verb, f"/{verb}/{quote(text, safe='')}"
-                                                           if verb in ("done", "drop", "forget") else f"/{verb}")
+            path = {"show": "", "history": "/history"}.get(
+                verb, f"/{verb}/{quote(text, safe='')}" if verb in ("done", "drop", "forget") else f"/{verb}"
+            )
             answer.append(pass_on_call(at, "GET" if verb in ("show", "history") else "PUT", "/v1/work" + path, text))
 
         try:
@@ -485,8 +526,12 @@
         self.leaving = True  # said at once; what still comes is taken
         succeeded = self.succession is not None and self.succession.wait_for_ready(READY_WITHIN)
         listeners = [front.listener for front in self.fronts if front.listener is not None]
-        threading.Thread(target=self._stop_listening, args=(listeners, NOTHING if succeeded else STILL_COMING),
-                         name="closing", daemon=True).start()
+        threading.Thread(
+            target=self._stop_listening,
+            args=(listeners, NOTHING if succeeded else STILL_COMING),
+            name="closing",
+            daemon=True,
+        ).start()
         leaving = self.longest_deadline() + LEAVING_BEYOND
         if succeeded and self.succession is not None:
             self.succession.hand_on()
@@ -499,9 +544,11 @@
     def _evacuate(self, plan: Evacuation, reason: str, host: str | None = None) -> None:
         """Moves those who are due by now, on this host or at all."""
         at = now()
-        standing = [one for one in self._standing()
-                    if host in (None, one.host)
-                    and not (one.moved or one.frozen or (one.move_wanted and at < plan.last))]
+        standing = [
+            one
+            for one in self._standing()
+            if host in (None, one.host) and not (one.moved or one.frozen or (one.move_wanted and at < plan.last))
+        ]
         for one in plan.due(at, standing):
             self._move(one, reason)
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -54,8 +54,13 @@
         raise ConfigError(f"tls: needs the extra 'tls' of this package ({error.name} is not installed)") from None
     plan = tls.Plan(
         tls.Files(config.ca, config.cert, config.key, config.crl, config.least, config.unverified),
-        config.name, config.handshake, tls.Rates(config.full_per_s, config.burst, config.resumed),
-        config.tickets, config.ticket_age, config.warn)
+        config.name,
+        config.handshake,
+        tls.Rates(config.full_per_s, config.burst, config.resumed),
+        config.tickets,
+        config.ticket_age,
+        config.warn,
+    )
     try:
         return plan, tls.load(plan.files, before)
     except tls.TrustError as error:
@@ -83,16 +88,24 @@
         self.tracing = tracing or Tracing()
         self.log = Log(front=self.name)
         self.cluster = Cluster()
-        self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing,
-                                   self.name)
+        self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
         self.connections = Connections(self.mute, self.hush)
         self.delays = Delays(noted_from(config.settings), self._note_delay)
-        self.house = House(self.decisions, self.cluster, self.connections, counters, self,
-                           config.connect_within, self.host_drains, self._dial, self.tracing, self.name)
+        self.house = House(
+            self.decisions,
+            self.cluster,
+            self.connections,
+            counters,
+            self,
+            config.connect_within,
+            self.host_drains,
+            self._dial,
+            self.tracing,
+            self.name,
+        )
         self.tls = None if config.tls is None else self._make_tls(config.tls)
         self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.tell, counters)
-        self.watch = None if config.discovery is None else self._make_watch(
-            config.discovery, config.known_version)
+        self.watch = None if config.discovery is None else self._make_watch(config.discovery, config.known_version)
         self.checks = Checks(config.checks, config.check_every, self.checked, counters)
         self.lobby = Lobby(config.lobby)
         self.listener: Listener | None = None
@@ -107,8 +120,16 @@
         plan, trust = load_tls(config)
         from bramblestile import tls
 
-        return tls.Dialer(plan, self.counters, self.config.settings.balancers, self.warmth, self.cluster.find,
-                          self.decisions.close, None if config.first else self.before_tls, trust=trust)
+        return tls.Dialer(
+            plan,
+            self.counters,
+            self.config.settings.balancers,
+            self.warmth,
+            self.cluster.find,
+            self.decisions.close,
+            None if config.first else self.before_tls,
+            trust=trust,
+        )
 
     before_tls: Callable[[Side, timedelta], bytes] | None = None  # what the protocol says before TLS begins
 
@@ -161,8 +182,9 @@
         self.decisions.list(api.ListMode.RESTORED, self.config.known)
         self.checks.start()
         with naming(self.key, self.config.listen):
-            self.listener = Listener(self.config.listen, self.serve, self.counters, self.name, self.lobby,
-                                     self.inherited)
+            self.listener = Listener(
+                self.config.listen, self.serve, self.counters, self.name, self.lobby, self.inherited
+            )
         if self.inherited is None:
             self.listener.start()
 
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -29,8 +29,9 @@
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
         raise ValueError(f"descriptor {descriptor}: {error.strerror}") from None
-    if (sock.family, sock.type) == (socket.AF_INET, socket.SOCK_STREAM) \
-            and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+    if (sock.family, sock.type) == (socket.AF_INET, socket.SOCK_STREAM) and sock.getsockopt(
+        socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+    ):
         return sock
     sock.detach()  # not ours to close
     raise ValueError(f"descriptor {descriptor} is no listening TCP socket")
@@ -41,8 +42,15 @@
     never shut down, and the thread that accepts waits on it beside a pipe of its own. It is made not to block, for all
     of them: between the wait and the accept another may have taken the downstream."""
 
-    def __init__(self, address: Address, serve: Serve, counters: Counters, name: str,
-                 lobby: Lobby | None = None, inherited: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        address: Address,
+        serve: Serve,
+        counters: Counters,
+        name: str,
+        lobby: Lobby | None = None,
+        inherited: socket.socket | None = None,
+    ) -> None:
         self._lobby = lobby  # None: what comes here is bounded elsewhere
         self._serve = serve
         self._counters = counters
--- a/bramblestile/sockets.py
+++ b/bramblestile/sockets.py
@@ -176,7 +176,7 @@
         while True:
             found = self.buffer.find(b"\n", searched, self.end)
             if found >= 0:
-                line = self.view[self.start:found + 1]
+                line = self.view[self.start : found + 1]
                 self.start = found + 1
                 return line
             searched = self.end
@@ -184,12 +184,12 @@
                 if self.start == 0:
                     raise OverlongError
                 kept = self.end - self.start
-                self.buffer[:kept] = self.buffer[self.start:self.end]
+                self.buffer[:kept] = self.buffer[self.start : self.end]
                 self.start, self.end, searched = 0, kept, kept
             if until is not None:
                 self._wait(until - now(), beside)
             try:
-                got = self.sock.recv_into(self.view[self.end:])
+                got = self.sock.recv_into(self.view[self.end :])
             except BlockingIOError:  # a channel's record that is not whole yet
                 continue
             if got == 0:
@@ -207,13 +207,13 @@
     def take(self, into: memoryview) -> int:
         """Moves what was read beyond the last line into the view, as far as it fits."""
         size = min(self.end - self.start, len(into))
-        into[:size] = self.view[self.start:self.start + size]
+        into[:size] = self.view[self.start : self.start + size]
         self.start += size
         return size
 
     def rest(self) -> bytes:
         """What was read beyond the last line handed out."""
-        got = bytes(self.view[self.start:self.end])
+        got = bytes(self.view[self.start : self.end])
         self.start = self.end = 0
         return got
 
--- a/bramblestile/store/journal.py
+++ b/bramblestile/store/journal.py
@@ -92,10 +92,12 @@
 
     def fold(self, base: int, base_term: int, values: Mapping[str, str]) -> None:
         """The state after ``base`` entries takes their place; later ones stay where they follow on it."""
-        keep = self.entries[base - self.base:] if base >= self.base and self.term_at(base) == base_term else []
+        keep = self.entries[base - self.base :] if base >= self.base and self.term_at(base) == base_term else []
         records: list[dict[str, Any]] = [
             {"base": base, "base_term": base_term, "values": dict(values)},
-            {"term": self.term, "vote": self.vote}, {"at": base, "entries": keep}]
+            {"term": self.term, "vote": self.vote},
+            {"at": base, "entries": keep},
+        ]
         if self._file is not None and self._path is not None:
             self._anew(self._path, records)
         for record in records:
@@ -134,7 +136,7 @@
 
     def since(self, index: int) -> list[Entry]:
         """All after the entry of this number."""
-        return self.entries[index - self.base:]
+        return self.entries[index - self.base :]
 
     def close(self) -> None:
         if self._file is not None:
--- a/bramblestile/store/replica.py
+++ b/bramblestile/store/replica.py
@@ -53,9 +53,18 @@
         """ValueError when it is no message."""
         try:
             entries = tuple((int(t), str(k), str(v)) for t, k, v in got.get("entries", ()))
-            return cls(str(got["kind"]), int(got["term"]), str(got["sender"]), int(got.get("index", 0)),
-                       int(got.get("index_term", 0)), got.get("granted") is True, entries,
-                       int(got.get("commit", 0)), int(got.get("stamp", 0)), str(got.get("chunk", "")))
+            return cls(
+                str(got["kind"]),
+                int(got["term"]),
+                str(got["sender"]),
+                int(got.get("index", 0)),
+                int(got.get("index_term", 0)),
+                got.get("granted") is True,
+                entries,
+                int(got.get("commit", 0)),
+                int(got.get("stamp", 0)),
+                str(got.get("chunk", "")),
+            )
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a message: {error!r}") from None
 
@@ -69,8 +78,16 @@
     ``room``: bytes that one message may carry of entries; ``election``: without a leader for one to two of these a
     peer stands."""
 
-    def __init__(self, name: str, peers: Sequence[str], journal: Journal, random: Random,
-                 at: timedelta, room: int = ROOM, election: timedelta = ELECTION) -> None:
+    def __init__(
+        self,
+        name: str,
+        peers: Sequence[str],
+        journal: Journal,
+        random: Random,
+        at: timedelta,
+        room: int = ROOM,
+        election: timedelta = ELECTION,
+    ) -> None:
         self.name = name
         self.election, self.lease = election, election * (1 - DRIFT)
         self.others = [peer for peer in peers if peer != name]
@@ -145,8 +162,11 @@
         """Leads no more from the return on, and asks a peer that lacks nothing to stand at once; [] where there is none
         or something is not agreed on yet, and it leads on. Its lease has ended before any other may be asked for."""
         end = self._last()[0]
-        ready = [peer for peer in self.others if self.match.get(peer) == end
-                 and at - self.heard.get(peer, self._since - self.election) < self.election]
+        ready = [
+            peer
+            for peer in self.others
+            if self.match.get(peer) == end and at - self.heard.get(peer, self._since - self.election) < self.election
+        ]
         if self.role != "leader" or self.commit != end or not ready:
             return []
         peer = max(ready, key=lambda name: self.heard[name])
@@ -190,8 +210,16 @@
             if entries and room < 0:
                 break
             entries.append(entry)
-        return Message("append", self.term, self.name, before, self.journal.term_at(before) or 0,
-                       entries=tuple(entries), commit=self.commit, stamp=stamp)
+        return Message(
+            "append",
+            self.term,
+            self.name,
+            before,
+            self.journal.term_at(before) or 0,
+            entries=tuple(entries),
+            commit=self.commit,
+            stamp=stamp,
+        )
 
     def _install(self, peer: str, stamp: int) -> Message:
         """The next chunk of our snapshot; a newer one begins anew."""
@@ -200,9 +228,18 @@
             number, done = self.journal.base, 0
             self._sending[peer] = number, done
         text = json.dumps(self.journal.values, sort_keys=True)
-        chunk = text[done:done + self.room // 2]  # a letter beyond ASCII is told as six
-        return Message("install", self.term, self.name, number, self.journal.base_term,
-                       granted=done + len(chunk) >= len(text), commit=done, stamp=stamp, chunk=chunk)
+        chunk = text[done : done + self.room // 2]  # a letter beyond ASCII is told as six
+        return Message(
+            "install",
+            self.term,
+            self.name,
+            number,
+            self.journal.base_term,
+            granted=done + len(chunk) >= len(text),
+            commit=done,
+            stamp=stamp,
+            chunk=chunk,
+        )
 
     def propose(self, key: str, value: str, at: timedelta) -> tuple[int, Mail]:
         """The entry's place, or 0 from one that does not lead, and the messages that spread it."""
@@ -244,9 +281,15 @@
             if not self._promise(got.term, ""):
                 return []
             self._follow("", at)
-        handlers = {"ask": self._on_ask, "vote": self._on_vote, "append": self._on_append,
-                    "appended": self._on_appended, "install": self._on_install, "installed": self._on_installed,
-                    "now": self._on_now}
+        handlers = {
+            "ask": self._on_ask,
+            "vote": self._on_vote,
+            "append": self._on_append,
+            "appended": self._on_appended,
+            "install": self._on_install,
+            "installed": self._on_installed,
+            "now": self._on_now,
+        }
         handler = handlers.get(got.kind)
         return handler(got, at) if handler is not None else []
 
@@ -327,7 +370,7 @@
         self._followed = at
         number, term, text = self._taking
         if (number, term) != (got.index, got.index_term) or got.commit < len(text):
-            text = text[:got.commit] if (number, term) == (got.index, got.index_term) else ""
+            text = text[: got.commit] if (number, term) == (got.index, got.index_term) else ""
         if got.commit == len(text):
             text += got.chunk
         self._taking = got.index, got.index_term, text
@@ -376,7 +419,7 @@
         if index <= self.commit:
             return
         self.commit = index
-        for _, key, value in self.journal.since(self.applied)[:index - self.applied]:
+        for _, key, value in self.journal.since(self.applied)[: index - self.applied]:
             if key:
                 self.values[key] = value
                 if not value:
--- a/bramblestile/tls/certificates.py
+++ b/bramblestile/tls/certificates.py
@@ -27,12 +27,16 @@
     except (x509.ExtensionNotFound, ValueError):
         names = None
     return Facts(
-        cert.subject.rfc4514_string(), cert.issuer.rfc4514_string(), cert.serial_number, cert.not_valid_before_utc,
+        cert.subject.rfc4514_string(),
+        cert.issuer.rfc4514_string(),
+        cert.serial_number,
+        cert.not_valid_before_utc,
         cert.not_valid_after_utc,
         tuple(names.get_values_for_type(x509.DNSName)) if names else (),
         tuple(map(str, names.get_values_for_type(x509.IPAddress))) if names else (),
         tuple(names.get_values_for_type(x509.UniformResourceIdentifier)) if names else (),
-        hashlib.sha256(der).hexdigest())
+        hashlib.sha256(der).hexdigest(),
+    )
 
 
 @lru_cache(maxsize=1024)  # a fleet's certificates come again with each full handshake, and parsing one takes 100 us
@@ -78,7 +82,8 @@
 
     def public(of: object) -> bytes:
         return of.public_bytes(  # type: ignore[attr-defined,no-any-return]
-            serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
+            serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
+        )
 
     if public(key.public_key()) != public(cert.public_key()):
         raise UnreadableError(f"the key belongs to another certificate than {cert.subject.rfc4514_string()}")
@@ -95,8 +100,10 @@
         try:
             crl = x509.load_pem_x509_crl(part)
             issuer = crl.issuer.rfc4514_string()
-            signed = any(a.subject == crl.issuer and crl.is_signature_valid(a.public_key())  # type: ignore[arg-type]
-                         for a in authorities)
+            signed = any(
+                a.subject == crl.issuer and crl.is_signature_valid(a.public_key())  # type: ignore[arg-type]
+                for a in authorities
+            )
         except (ValueError, TypeError, UnsupportedAlgorithm) as error:
             raise UnreadableError(f"not a list of revoked certificates: {error}") from None
         if not signed:
--- a/bramblestile/tls/channel.py
+++ b/bramblestile/tls/channel.py
@@ -51,8 +51,9 @@
 
 
 class TlsChannel(Channel):
-    def __init__(self, sock: socket.socket, context: ssl.SSLContext, server_name: str | None,
-                 session: Any = None) -> None:
+    def __init__(
+        self, sock: socket.socket, context: ssl.SSLContext, server_name: str | None, session: Any = None
+    ) -> None:
         self._sock = sock
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._ssl = context.wrap_bio(self._in, self._out, server_hostname=server_name, session=session)
@@ -78,8 +79,9 @@
             self._put_out(self._out.read())
             left = until - now()
             if left <= NOTHING or sockets.wait((self._sock, sockets.READABLE), within=left) is None:
-                raise HandshakeError("tls: no end of the handshake in time" if fed else
-                                     "tls: no answer to the ClientHello")
+                raise HandshakeError(
+                    "tls: no end of the handshake in time" if fed else "tls: no answer to the ClientHello"
+                )
             try:
                 got = self._sock.recv(READ)
             except OSError as error:
@@ -220,7 +222,7 @@
             for at in range(0, len(data), PIECE):
                 with self._lock:
                     try:
-                        self._ssl.write(data[at:at + PIECE])
+                        self._ssl.write(data[at : at + PIECE])
                     except ssl.SSLError as error:
                         raise ConnectionError(f"tls: {_reason(error)}") from None
                 self._send_pending()
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -73,13 +73,19 @@
     capacity that it has by now; ``on_close`` hears of hosts that take nothing new, or do again.
     """
 
-    def __init__(self, plan: Plan, counters: Counters, balancers: int = 1,
-                 warmth: Callable[[UpstreamHost], float] = lambda host: 1.0,
-                 find: Callable[[str], UpstreamHost | None] = lambda name: None,
-                 on_close: Callable[[str, bool], None] = lambda name, closed: None,
-                 before: Callable[[Side, timedelta], bytes] | None = None,
-                 wall: Callable[[], datetime] = lambda: datetime.now(UTC),
-                 trust: Trust | None = None, clock: Callable[[], timedelta] = now) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        counters: Counters,
+        balancers: int = 1,
+        warmth: Callable[[UpstreamHost], float] = lambda host: 1.0,
+        find: Callable[[str], UpstreamHost | None] = lambda name: None,
+        on_close: Callable[[str, bool], None] = lambda name, closed: None,
+        before: Callable[[Side, timedelta], bytes] | None = None,
+        wall: Callable[[], datetime] = lambda: datetime.now(UTC),
+        trust: Trust | None = None,
+        clock: Callable[[], timedelta] = now,
+    ) -> None:
         self._plan = plan
         self._trust = load(plan.files) if trust is None else trust
         self._counters = counters
@@ -141,8 +147,16 @@
             time.sleep(wait.total_seconds())
         return ticket
 
-    def _connect(self, host: UpstreamHost, trust: Trust, name: Name, key: Key, ticket: Ticket | None,
-                 connect_within: timedelta, until: timedelta) -> tuple[TlsChannel, Seen]:
+    def _connect(
+        self,
+        host: UpstreamHost,
+        trust: Trust,
+        name: Name,
+        key: Key,
+        ticket: Ticket | None,
+        connect_within: timedelta,
+        until: timedelta,
+    ) -> tuple[TlsChannel, Seen]:
         try:
             sock = sockets.dial(host.address, min(connect_within, until - now()))
         except OSError:
@@ -152,8 +166,12 @@
         try:
             ahead = b"" if self._before is None else self._before(sock, until)
             uri = name.kind is NameKind.URI
-            channel = TlsChannel(sock, trust.nameless if uri else trust.named, None if uri else name.value,
-                                 ticket.session if ticket else None)
+            channel = TlsChannel(
+                sock,
+                trust.nameless if uri else trust.named,
+                None if uri else name.value,
+                ticket.session if ticket else None,
+            )
             if ticket is not None:
                 channel.chain = ticket.chain
             began = self._clock()
@@ -176,8 +194,9 @@
         if problem is not None:
             raise _JudgedError(problem)
 
-    def _failed(self, host: UpstreamHost, name: Name,
-                error: HandshakeError | UnverifiedError | _JudgedError) -> NotDialledError:
+    def _failed(
+        self, host: UpstreamHost, name: Name, error: HandshakeError | UnverifiedError | _JudgedError
+    ) -> NotDialledError:
         if isinstance(error, HandshakeError):
             self._counters.add("tls_failed")
             self._log.seldom("handshake failed", host=host.id, error=str(error))
@@ -196,8 +215,7 @@
             self._changed.set()
         return RefusedError(host.id, problem)
 
-    def _made(self, host: UpstreamHost, key: Key, channel: TlsChannel, ticket: Ticket | None,
-              took: timedelta) -> None:
+    def _made(self, host: UpstreamHost, key: Key, channel: TlsChannel, ticket: Ticket | None, took: timedelta) -> None:
         resumed, at = channel.reused, self._clock()
         self._counters.add("tls_resumed" if resumed else "tls_full")
         self._counters.add("tls_resumed_us" if resumed else "tls_full_us", took // MICROSECOND)
@@ -233,8 +251,14 @@
         self._warned[host] = at
         facts, left = found
         self._counters.add("tls_expiring")
-        self._log.warning("certificate expires", host=host, subject=facts.subject, days=left.days,
-                          hours=left.seconds // 3600, at=f"{facts.not_after:%Y-%m-%dT%H:%M:%SZ}")
+        self._log.warning(
+            "certificate expires",
+            host=host,
+            subject=facts.subject,
+            days=left.days,
+            hours=left.seconds // 3600,
+            at=f"{facts.not_after:%Y-%m-%dT%H:%M:%SZ}",
+        )
 
     def name_of(self, host: UpstreamHost) -> Name:
         """Who this host must prove to be. HandshakeError where its entry makes no name of the template."""
--- a/bramblestile/tls/judging.py
+++ b/bramblestile/tls/judging.py
@@ -76,8 +76,11 @@
     except ValueError:
         pass
     labels = text.split(".")
-    if len(text) > 253 or any(not 0 < len(label) <= 63 for label in labels) or not all(
-            c.isascii() and (c.isalnum() or c in "-_") for label in labels for c in label):
+    if (
+        len(text) > 253
+        or any(not 0 < len(label) <= 63 for label in labels)
+        or not all(c.isascii() and (c.isalnum() or c in "-_") for label in labels for c in label)
+    ):
         raise ValueError(f"{text!r} is no name that a certificate can prove")
     return Name(NameKind.DNS, text.lower())
 
@@ -137,11 +140,14 @@
 
 def _dates(facts: Facts, place: int, now: datetime) -> Problem | None:
     if now > facts.not_after:
-        return Problem(Kind.EXPIRED, f"{_who(facts, place)}: expired {_at(facts.not_after)}, "
-                                     f"{_span(now - facts.not_after)} ago")
+        return Problem(
+            Kind.EXPIRED, f"{_who(facts, place)}: expired {_at(facts.not_after)}, {_span(now - facts.not_after)} ago"
+        )
     if now < facts.not_before:
-        return Problem(Kind.NOT_YET_VALID, f"{_who(facts, place)}: valid from {_at(facts.not_before)}, in "
-                                           f"{_span(facts.not_before - now)}")
+        return Problem(
+            Kind.NOT_YET_VALID,
+            f"{_who(facts, place)}: valid from {_at(facts.not_before)}, in {_span(facts.not_before - now)}",
+        )
     return None
 
 
@@ -168,12 +174,17 @@
     if code == _SELF_SIGNED:
         return Problem(Kind.SELF_SIGNED, f"{leaf}: self-signed, and not one of ours")
     if code == _SELF_SIGNED_IN_CHAIN:
-        return Problem(Kind.UNKNOWN_ISSUER, f"{leaf}: its chain ends in {chain[-1].subject if chain else '?'}, "
-                                            "which is no authority of ours")
+        return Problem(
+            Kind.UNKNOWN_ISSUER,
+            f"{leaf}: its chain ends in {chain[-1].subject if chain else '?'}, which is no authority of ours",
+        )
     if code in (_NO_ISSUER, _NO_LEAF_ISSUER):
         last = chain[-1].issuer if chain else "?"
-        return Problem(Kind.UNKNOWN_ISSUER, f"{leaf}: its issuer {last} was not sent and is no authority of ours "
-                                            "(an intermediate is missing, or the authority is another)")
+        return Problem(
+            Kind.UNKNOWN_ISSUER,
+            f"{leaf}: its issuer {last} was not sent and is no authority of ours "
+            "(an intermediate is missing, or the authority is another)",
+        )
     if code == _BAD_SIGNATURE:
         return Problem(Kind.BAD_SIGNATURE, f"{leaf}: its signature is not that of {chain[0].issuer if chain else '?'}")
     if code == _PURPOSE:
--- a/bramblestile/tls/making.py
+++ b/bramblestile/tls/making.py
@@ -37,8 +37,9 @@
 
 
 def key_pem(key: Key) -> bytes:
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                             serialization.NoEncryption())
+    return key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
 
 
 def authority(hosts: Mapping[str, Sequence[str]], life: timedelta, is_rsa: bool = False) -> dict[str, bytes]:
@@ -48,24 +49,33 @@
     root_key, root_name = _key(is_rsa), common("bramblestile test authority")
 
     def builder(subject: x509.Name, key: Key) -> x509.CertificateBuilder:
-        return (x509.CertificateBuilder().subject_name(subject).issuer_name(root_name).public_key(key.public_key())
-                .serial_number(x509.random_serial_number()).not_valid_before(now - EARLIER)
-                .not_valid_after(now + life))
-
-    root = (builder(root_name, root_key)
-            .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
-            .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
-            .add_extension(x509.SubjectKeyIdentifier.from_public_key(root_key.public_key()), critical=False)
-            .sign(root_key, hashes.SHA256()))
+        return (
+            x509.CertificateBuilder()
+            .subject_name(subject)
+            .issuer_name(root_name)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(now - EARLIER)
+            .not_valid_after(now + life)
+        )
+
+    root = (
+        builder(root_name, root_key)
+        .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
+        .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
+        .add_extension(x509.SubjectKeyIdentifier.from_public_key(root_key.public_key()), critical=False)
+        .sign(root_key, hashes.SHA256())
+    )
     made = {"ca.pem": pem(root)}
     for name, names in {"client": ("client",), **hosts}.items():
         key = _key(is_rsa)
         use = ExtendedKeyUsageOID.CLIENT_AUTH if name == "client" else ExtendedKeyUsageOID.SERVER_AUTH
-        cert = (builder(common(name), key)
-                .add_extension(x509.SubjectAlternativeName([_general(n) for n in names]), critical=False)
-                .add_extension(x509.ExtendedKeyUsage([use]), critical=False)
-                .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(root_key.public_key()),
-                               critical=False)
-                .sign(root_key, hashes.SHA256()))
+        cert = (
+            builder(common(name), key)
+            .add_extension(x509.SubjectAlternativeName([_general(n) for n in names]), critical=False)
+            .add_extension(x509.ExtendedKeyUsage([use]), critical=False)
+            .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(root_key.public_key()), critical=False)
+            .sign(root_key, hashes.SHA256())
+        )
         made[f"{name}.pem"], made[f"{name}.key"] = pem(cert), key_pem(key)
     return made
--- a/bramblestile/tls/tickets.py
+++ b/bramblestile/tls/tickets.py
@@ -65,8 +65,9 @@
             held.clear()  # the others are older still
         return None
 
-    def put(self, key: Key, session: Any, chain: Sequence[Facts], now: timedelta, lifetime: timedelta,
-            once: bool = True) -> None:
+    def put(
+        self, key: Key, session: Any, chain: Sequence[Facts], now: timedelta, lifetime: timedelta, once: bool = True
+    ) -> None:
         span = min(lifetime, self.age, MOST_AGE)
         if span <= timedelta(0) or self.per_host <= 0:
             return
--- a/bramblestile/tls/trust.py
+++ b/bramblestile/tls/trust.py
@@ -56,12 +56,17 @@
     def expiring(self, now: datetime, within: timedelta) -> list[str]:
         """A line for each of our own certificates that has expired, or will within the span."""
         said = []
-        for what, facts in (*(("client certificate", f) for f in self.own[:1]),
-                            *(("authority", f) for f in self.authorities)):
+        for what, facts in (
+            *(("client certificate", f) for f in self.own[:1]),
+            *(("authority", f) for f in self.authorities),
+        ):
             left = facts.not_after - now
             if left <= within:
-                when = f"expired {facts.not_after:%Y-%m-%d %H:%M}Z" if left < timedelta(0) else (
-                    f"expires {facts.not_after:%Y-%m-%d %H:%M}Z, in {left.days} d")
+                when = (
+                    f"expired {facts.not_after:%Y-%m-%d %H:%M}Z"
+                    if left < timedelta(0)
+                    else (f"expires {facts.not_after:%Y-%m-%d %H:%M}Z, in {left.days} d")
+                )
                 said.append(f"{what} {facts.subject}: {when}")
         return said
 
@@ -105,8 +110,9 @@
     """All files, or TrustError and nothing. ``before`` itself where no byte has changed: its sessions stay good."""
     if files.key is not None:
         _check_mode(files.key)
-    raws = {name: _read(name, path) for name in ("ca", "cert", "key", "crl")
-            if (path := getattr(files, name)) is not None}
+    raws = {
+        name: _read(name, path) for name in ("ca", "cert", "key", "crl") if (path := getattr(files, name)) is not None
+    }
     raw = (repr(files).encode(), *raws.values())
     if before is not None and before.raw == raw:
         return before
@@ -136,5 +142,13 @@
     # OpenSSL has read the pair from the files by itself: what it read must be what was checked.
     if any(_read(n, getattr(files, n)) != raws[n] for n in ("cert", "key") if n in raws):
         raise TrustError(f"cert: {files.cert}: changed while it was read")
-    return Trust(next(_numbers), contexts[0], contexts[1], revoked, certificates.facts(own),
-                 certificates.facts(authorities), raw, files.unverified)
+    return Trust(
+        next(_numbers),
+        contexts[0],
+        contexts[1],
+        revoked,
+        certificates.facts(own),
+        certificates.facts(authorities),
+        raw,
+        files.unverified,
+    )
--- a/bramblestile/trace/clocks.py
+++ b/bramblestile/trace/clocks.py
@@ -153,7 +153,7 @@
 
 def _nearest(times: list[int], at: int) -> int:
     n = bisect_left(times, at)
-    return min(times[max(0, n - 1):n + 1], key=lambda t: abs(t - at))
+    return min(times[max(0, n - 1) : n + 1], key=lambda t: abs(t - at))
 
 
 def returns(left: Seen, came: Seen) -> list[Link]:
@@ -181,14 +181,30 @@
         return _from_returns(out, back)
     if used:
         link = used[0]
-        return Estimate(link.apart, 2 * TYPICAL_US[link.kind], 0.0, DRIFT_PRIOR, link.here, {link.kind: 1}, "links",
-                        "one event only: its own delay is in the offset")
+        return Estimate(
+            link.apart,
+            2 * TYPICAL_US[link.kind],
+            0.0,
+            DRIFT_PRIOR,
+            link.here,
+            {link.kind: 1},
+            "links",
+            "one event only: its own delay is in the offset",
+        )
     if out or back:
         one = min(link.apart for link in out or back)
         side = "less" if out else "more"
         bound = one if out else -one
-        return Estimate(0.0, math.inf, 0.0, DRIFT_PRIOR, 0, {"return": len(out or back)}, "nothing",
-                        f"clients came back one way only: the offset is {side} than {bound / 1000:.1f} ms")
+        return Estimate(
+            0.0,
+            math.inf,
+            0.0,
+            DRIFT_PRIOR,
+            0,
+            {"return": len(out or back)},
+            "nothing",
+            f"clients came back one way only: the offset is {side} than {bound / 1000:.1f} ms",
+        )
     return Estimate(0.0, math.inf, 0.0, DRIFT_PRIOR, 0, {}, "nothing", "nothing links these two traces")
 
 
@@ -202,7 +218,7 @@
     apart = sorted(link.apart for link in used)
     half = len(apart) // 2 + 1
     first = min(range(len(apart) - half + 1), key=lambda n: apart[n + half - 1] - apart[n])
-    return median(apart[first:first + half])
+    return median(apart[first : first + half])
 
 
 def _fit(used: list[Link]) -> Estimate | None:
@@ -234,8 +250,9 @@
     for link in counted:
         kinds[link.kind] = kinds.get(link.kind, 0) + 1
     note = "" if len(counted) * 2 > len(used) else "most links disagree with this"
-    return Estimate(offset, 1.96 * math.sqrt(var_offset), drift, 1.96 * math.sqrt(var_drift), middle, kinds, "links",
-                    note)
+    return Estimate(
+        offset, 1.96 * math.sqrt(var_offset), drift, 1.96 * math.sqrt(var_drift), middle, kinds, "links", note
+    )
 
 
 def _sums(used: list[Link], weights: list[float], middle: int) -> tuple[float, float, float, float, float]:
@@ -270,8 +287,16 @@
     # Both ways are positive spans but for the offset, so half their sum bounds the error whatever the clients do;
     # with many of them the quickest are alike, and the error falls as their number grows.
     bound = max(0.0, (there + here) / 2)
-    return Estimate((there - here) / 2, bound, 0.0, DRIFT_PRIOR, middle, {"return": len(out) + len(back)}, "returns",
-                    f"by {n} clients or more that came back each way; the bound holds whatever they do")
+    return Estimate(
+        (there - here) / 2,
+        bound,
+        0.0,
+        DRIFT_PRIOR,
+        middle,
+        {"return": len(out) + len(back)},
+        "returns",
+        f"by {n} clients or more that came back each way; the bound holds whatever they do",
+    )
 
 
 def common(estimates: dict[tuple[int, int], Estimate], count: int) -> list[tuple[Estimate, int]]:
@@ -284,8 +309,12 @@
         best: tuple[float, int, int] | None = None
         for (one, other), known in estimates.items():
             for parent, child in ((one, other), (other, one)):
-                if made[parent] is not None and made[child] is None and math.isfinite(known.within_us) and (
-                        best is None or known.within_us < best[0]):
+                if (
+                    made[parent] is not None
+                    and made[child] is None
+                    and math.isfinite(known.within_us)
+                    and (best is None or known.within_us < best[0])
+                ):
                     best = (known.within_us, parent, child)
         if best is None:
             break
@@ -300,8 +329,16 @@
     if known is not None:
         return known
     other = estimates[child, parent]
-    return Estimate(-other.offset_us, other.within_us, -other.drift, other.drift_within, other.middle_us, other.links,
-                    other.by, other.note)
+    return Estimate(
+        -other.offset_us,
+        other.within_us,
+        -other.drift,
+        other.drift_within,
+        other.middle_us,
+        other.links,
+        other.by,
+        other.note,
+    )
 
 
 def correction(chain: list[tuple[Estimate, int]], trace: int) -> Iterable[Estimate]:
--- a/bramblestile/trace/columns.py
+++ b/bramblestile/trace/columns.py
@@ -70,7 +70,7 @@
         if size < 0 or size > self.end - self.at:
             raise ColumnError(f"{size} bytes wanted, {self.end - self.at} left")
         self.at += size
-        return self.data[self.at - size:self.at]
+        return self.data[self.at - size : self.at]
 
     def byte(self) -> int:
         return self.take(1)[0]
@@ -151,7 +151,7 @@
         return made
     whole = bytearray(count * width)
     for n in range(width):
-        whole[n::width] = raw[n * count:(n + 1) * count]
+        whole[n::width] = raw[n * count : (n + 1) * count]
     made.frombytes(whole)
     if sys.byteorder == "big":
         made.byteswap()
@@ -200,8 +200,9 @@
     return moved
 
 
-def put_ints(values: Sequence[int], keys: Sequence[int] | None = None, link: Link | None = None,
-             told: Told | None = None) -> bytes:
+def put_ints(
+    values: Sequence[int], keys: Sequence[int] | None = None, link: Link | None = None, told: Told | None = None
+) -> bytes:
     """At least one value. With ``keys``, each may be told as its difference from the last one of the same key:
     what is known of one host repeats from decision to decision until that host is asked again; with ``told``, that
     answer counts as the last one. With ``link``, as its difference from what is predicted, where that is less."""
@@ -225,8 +226,13 @@
     return bytes([OFFSET]) + _spread(values, low)
 
 
-def get_ints(cursor: Cursor, count: int, keys: Sequence[int] | None = None,
-             predict: Predict | None = None, hear: Hear | None = None) -> list[int]:
+def get_ints(
+    cursor: Cursor,
+    count: int,
+    keys: Sequence[int] | None = None,
+    predict: Predict | None = None,
+    hear: Hear | None = None,
+) -> list[int]:
     mode = cursor.byte()
     if mode == CONSTANT:
         return [cursor.signed()] * count
@@ -270,7 +276,7 @@
         return None
     some = values[:16]
     for decimals in DECIMALS:
-        scale = 10 ** decimals
+        scale = 10**decimals
         if any(round(v * scale) / scale != v for v in some):
             continue
         whole = [round(v * scale) for v in values]
@@ -291,19 +297,18 @@
     if scaled is not None:
         decimals, whole = scaled
         if told is not None:
-            told = Told(told.kind, told.what, _whole(told.sets, 10 ** decimals))
+            told = Told(told.kind, told.what, _whole(told.sets, 10**decimals))
         return bytes([DECIMAL, decimals]) + put_ints(whole, keys, told=told)
     return bytes([RAW]) + _planes(values, 8, "d")
 
 
-def get_floats(cursor: Cursor, count: int, keys: Sequence[int] | None = None,
-               hear: Hear | None = None) -> list[float]:
+def get_floats(cursor: Cursor, count: int, keys: Sequence[int] | None = None, hear: Hear | None = None) -> list[float]:
     mode = cursor.byte()
     if mode == DECIMAL:
         decimals = cursor.byte()
         if decimals > 9:
             raise ColumnError(f"{decimals} decimals")
-        scale = 10 ** decimals
+        scale = 10**decimals
         heard = None if hear is None else lambda kind, what: _whole(hear(kind, what), scale)
         return [w / scale for w in get_ints(cursor, count, keys, hear=heard)]
     if mode != RAW:
@@ -330,7 +335,7 @@
     if first and first % 2 == 0 and all(len(v) == first and _HEX.issuperset(v) for v in values):
         return varint(len(values)) + bytes([HEX]) + varint(first // 2) + bytes.fromhex("".join(values))
     raw = [v.encode("utf-8", "replace") for v in values]
-    return (varint(len(values)) + bytes([PLAIN]) + put_ints([len(r) for r in raw]) + b"".join(raw))
+    return varint(len(values)) + bytes([PLAIN]) + put_ints([len(r) for r in raw]) + b"".join(raw)
 
 
 def get_texts(cursor: Cursor) -> list[str]:
@@ -343,7 +348,7 @@
         if width == 0:
             raise ColumnError("texts of no width")
         whole = cursor.take(count * width).hex()
-        return [whole[at:at + 2 * width] for at in range(0, len(whole), 2 * width)]
+        return [whole[at : at + 2 * width] for at in range(0, len(whole), 2 * width)]
     if mode != PLAIN:
         raise ColumnError(f"layout {mode} of texts")
     sizes = _lengths(get_ints(cursor, count), MOST_TEXT)
--- a/bramblestile/trace/files.py
+++ b/bramblestile/trace/files.py
@@ -61,19 +61,22 @@
     cls: str | None = None
 
     def may_be_in(self, frame: Frame) -> bool:
-        return ((self.since is None or frame.last >= self.since)
-                and (self.until is None or frame.first < self.until))
+        return (self.since is None or frame.last >= self.since) and (self.until is None or frame.first < self.until)
 
     def keys(self) -> list[str]:
         return ([frames.id_key(self.id)] if self.id is not None else []) + (
-            [frames.host_key(self.host)] if self.host is not None else [])
+            [frames.host_key(self.host)] if self.host is not None else []
+        )
 
     def takes(self, record: Record) -> bool:
         """All but the class, which a request's later records do not tell: the reader knows it (``Reader.read``)."""
         at = corrected(record)
-        return ((self.since is None or at >= self.since) and (self.until is None or at < self.until)
-                and (self.id is None or ids_of(record) == self.id)
-                and (self.host is None or self.host in hosts_of(record)))
+        return (
+            (self.since is None or at >= self.since)
+            and (self.until is None or at < self.until)
+            and (self.id is None or ids_of(record) == self.id)
+            and (self.host is None or self.host in hosts_of(record))
+        )
 
 
 @dataclass(slots=True)
@@ -141,7 +144,7 @@
             chunk = self._at(at, _SEARCH + FRAME_SIZE)
             found = chunk.find(frames.MARK)
             while 0 <= found < _SEARCH:
-                if frames.read_frame(chunk[found:found + FRAME_SIZE]) is not None:
+                if frames.read_frame(chunk[found : found + FRAME_SIZE]) is not None:
                     return at + found
                 found = chunk.find(frames.MARK, found + 1)
             at += _SEARCH
@@ -196,8 +199,9 @@
             texts = payload.texts_of(self._unpacker.raw(place.frame, self._body(place)))
         except (TraceError, ColumnError):
             return True  # reading the block reports it
-        return ((wanted.id is None or wanted.id in texts.get("id", ()))
-                and (wanted.host is None or wanted.host in texts.get("host", ())))
+        return (wanted.id is None or wanted.id in texts.get("id", ())) and (
+            wanted.host is None or wanted.host in texts.get("host", ())
+        )
 
     def read(self, wanted: Wanted | None = None) -> Iterator[Record]:
         """The records that are wanted, in the order of the file. A class is told by a request's first and last
@@ -239,8 +243,15 @@
     at most that many wait. Without, each block is whole in the file when ``write`` returns.
     """
 
-    def __init__(self, file: Sink, description: dict[str, Any], level: int = LEVEL, block: int = BLOCK,
-                 layout: int = frames.COLUMNS, beside: int = 0) -> None:
+    def __init__(
+        self,
+        file: Sink,
+        description: dict[str, Any],
+        level: int = LEVEL,
+        block: int = BLOCK,
+        layout: int = frames.COLUMNS,
+        beside: int = 0,
+    ) -> None:
         self._file = file
         self._packers = [Packer(level, layout) for _ in range(max(1, beside))]
         self._pool = ThreadPoolExecutor(beside) if beside else None
--- a/bramblestile/trace/frames.py
+++ b/bramblestile/trace/frames.py
@@ -104,14 +104,24 @@
         return FRAME_SIZE + self.filter + self.payload
 
     def pack(self) -> bytes:
-        head = _FRAME.pack(MARK, self.layout, self.payload, self.raw, self.filter, self.records, self.first, self.last,
-                           self.number, self.body_check)
+        head = _FRAME.pack(
+            MARK,
+            self.layout,
+            self.payload,
+            self.raw,
+            self.filter,
+            self.records,
+            self.first,
+            self.last,
+            self.number,
+            self.body_check,
+        )
         return head + check(head).to_bytes(8, "little")
 
 
 def read_frame(head: bytes | memoryview) -> Frame | None:
     """None where these bytes are no sound frame."""
-    if len(head) < FRAME_SIZE or check(head[:_FRAME.size]).to_bytes(8, "little") != head[_FRAME.size:FRAME_SIZE]:
+    if len(head) < FRAME_SIZE or check(head[: _FRAME.size]).to_bytes(8, "little") != head[_FRAME.size : FRAME_SIZE]:
         return None
     mark, layout, size, raw, filter_, records, first, last, number, body = _FRAME.unpack_from(head)
     if mark != MARK or raw > MOST_RAW or filter_ > MOST_FILTER or not 0 < records <= payload.MOST_RECORDS:
@@ -207,8 +217,17 @@
     def squeeze(self, block: Block, number: int) -> bytes:
         packed = self._compressor.compress(block.raw)
         body = block.filter + packed
-        frame = Frame(number, block.records, block.first, block.last, len(packed), len(block.raw), len(block.filter),
-                      check(body), block.layout)
+        frame = Frame(
+            number,
+            block.records,
+            block.first,
+            block.last,
+            len(packed),
+            len(block.raw),
+            len(block.filter),
+            check(body),
+            block.layout,
+        )
         return frame.pack() + body
 
     def block(self, records: Sequence[Record], number: int) -> bytes:
@@ -224,7 +243,7 @@
         if len(body) != frame.filter + frame.payload or check(body) != frame.body_check:
             raise TraceError("the block's checksum does not hold")
         try:
-            packed = body[frame.filter:]
+            packed = body[frame.filter :]
             # The size told inside is what the library would take memory for: it must be the frame's.
             if zstandard.frame_content_size(packed) != frame.raw:
                 raise TraceError("the block's size is not what its frame tells")
--- a/bramblestile/trace/merging.py
+++ b/bramblestile/trace/merging.py
@@ -39,9 +39,16 @@
     def told(self) -> dict[str, Any]:
         """For the description of the file that is made."""
         e = self.best
-        return {"file": self.name, "by": e.by, "against": self.known_by, "offset_us": round(e.offset_us),
-                "within_us": None if e.within_us == float("inf") else round(e.within_us),
-                "drift_ppm": round(e.drift * 1e6, 2), "links": e.links, "note": e.note}
+        return {
+            "file": self.name,
+            "by": e.by,
+            "against": self.known_by,
+            "offset_us": round(e.offset_us),
+            "within_us": None if e.within_us == float("inf") else round(e.within_us),
+            "drift_ppm": round(e.drift * 1e6, 2),
+            "links": e.links,
+            "note": e.note,
+        }
 
 
 def _clock_of(reader: Reader, number: int) -> str:
@@ -63,8 +70,11 @@
             seen.hear(record)
         reader.forget()
     order = list(clocks)
-    known = {(a, b): estimate(clocks[order[a]], clocks[order[b]])
-             for a in range(len(order)) for b in range(a + 1, len(order))}
+    known = {
+        (a, b): estimate(clocks[order[a]], clocks[order[b]])
+        for a in range(len(order))
+        for b in range(a + 1, len(order))
+    }
     chain = common(known, len(order))
     parts = []
     for n, reader in enumerate(readers):
--- a/bramblestile/trace/payload.py
+++ b/bramblestile/trace/payload.py
@@ -164,8 +164,14 @@
 
     def of(self, there: Sequence[bool]) -> _Kind:
         """Only those rows."""
-        return _Kind(self.number, self.linked, [i for i, t in zip(self.ids, there, strict=True) if t],
-                     [a for a, t in zip(self.at, there, strict=True) if t], self.order, self.cls)
+        return _Kind(
+            self.number,
+            self.linked,
+            [i for i, t in zip(self.ids, there, strict=True) if t],
+            [a for a, t in zip(self.at, there, strict=True) if t],
+            self.order,
+            self.cls,
+        )
 
     def predict(self, name: str, kind: int, since: bool) -> list[int]:
         if since:
@@ -181,8 +187,14 @@
         return columns.Link(self.order[cls], since, self.predict(name, self.order[cls], since))
 
 
-def _put_column(column: Column, values: Sequence[Any], texts: _Texts, keys: Sequence[int] | None,
-                kind: _Kind | None, hearing: _Hearing | None = None) -> bytes:
+def _put_column(
+    column: Column,
+    values: Sequence[Any],
+    texts: _Texts,
+    keys: Sequence[int] | None,
+    kind: _Kind | None,
+    hearing: _Hearing | None = None,
+) -> bytes:
     """Presence, then the values that are there."""
     head = b""
     there: list[bool] | None = None
@@ -218,8 +230,13 @@
     return head + columns.put_ints(sizes) + (_put_rows(column.of, rows, texts, hearing=below) if rows else b"")
 
 
-def _put_rows(shape: Shape, rows: Sequence[msgspec.Struct], texts: _Texts, kind: _Kind | None = None,
-              hearing: _Hearing | None = None) -> bytes:
+def _put_rows(
+    shape: Shape,
+    rows: Sequence[msgspec.Struct],
+    texts: _Texts,
+    kind: _Kind | None = None,
+    hearing: _Hearing | None = None,
+) -> bytes:
     """All columns of one struct. The first of KEYS among them is the key that those after it may refer to."""
     parts = [varint(len(shape.columns))]
     keys: list[int] | None = None
@@ -286,16 +303,18 @@
     for cls, number in order.items():
         of_kind = kinds[cls]
         ids = _ids(of_kind, texts)
-        kind = None if ids is None else _Kind(number, linked, ids, [r.at for r in of_kind], order, cls,
-                                              where[number], answers)
+        kind = (
+            None
+            if ids is None
+            else _Kind(number, linked, ids, [r.at for r in of_kind], order, cls, where[number], answers)
+        )
         if kind is not None:
             linked.add(number, "at", kind.ids, kind.at)
         made = _put_rows(SHAPES[cls], of_kind, texts, kind=kind)
         if cls is Probed:
             hosts = texts.numbers("host", [r.host for r in of_kind])  # type: ignore[attr-defined]
             answers[number] = _Answers(where[number], hosts, of_kind)
-        body += [short_text(name_of(cls)), bytes([cls.VERSION]), varint(len(of_kind)), varint(len(made)),
-                 made]
+        body += [short_text(name_of(cls)), bytes([cls.VERSION]), varint(len(of_kind)), varint(len(made)), made]
     return b"".join([varint(len(rows)), varint(len(kinds)), texts.put(), *body])
 
 
@@ -318,8 +337,16 @@
     return [known[n] for n in numbers]
 
 
-def _get_column(cursor: Cursor, column: Column, count: int, texts: dict[str, list[str]], unknown: Unknown,
-                keys: Sequence[int] | None, kind: _Kind | None, hearing: _Hearing | None = None) -> list[Any]:
+def _get_column(
+    cursor: Cursor,
+    column: Column,
+    count: int,
+    texts: dict[str, list[str]],
+    unknown: Unknown,
+    keys: Sequence[int] | None,
+    kind: _Kind | None,
+    hearing: _Hearing | None = None,
+) -> list[Any]:
     present: list[bool] | None = None
     if column.nullable:
         mark = cursor.byte()
@@ -356,8 +383,14 @@
     return [next(there) if p else None for p in present]
 
 
-def _get_ints(cursor: Cursor, column: Column, count: int, keys: Sequence[int] | None,
-              kind: _Kind | None, hear: columns.Hear | None = None) -> list[int]:
+def _get_ints(
+    cursor: Cursor,
+    column: Column,
+    count: int,
+    keys: Sequence[int] | None,
+    kind: _Kind | None,
+    hear: columns.Hear | None = None,
+) -> list[int]:
     if kind is None:
         return columns.get_ints(cursor, count, keys if column.type == INT else None, hear=hear)
     values = columns.get_ints(cursor, count, keys, lambda of, since: kind.predict(column.name, of, since))
@@ -365,20 +398,29 @@
     return values
 
 
-def _get_lists(cursor: Cursor, shape: Shape, sizes: list[int], texts: dict[str, list[str]],
-               unknown: Unknown, kind: _Kind | None) -> list[list[Any]]:
+def _get_lists(
+    cursor: Cursor, shape: Shape, sizes: list[int], texts: dict[str, list[str]], unknown: Unknown, kind: _Kind | None
+) -> list[list[Any]]:
     total = sum(sizes)
     below = None if kind is None else kind.hearing(sizes)
     rows = _get_rows(cursor, shape, total, texts, unknown, hearing=below) if total else []
     at, made = 0, []
     for size in sizes:
-        made.append(rows[at:at + size])
+        made.append(rows[at : at + size])
         at += size
     return made
 
 
-def _get_rows(cursor: Cursor, shape: Shape, count: int, texts: dict[str, list[str]], unknown: Unknown,
-              kind: _Kind | None = None, hearing: _Hearing | None = None, **common: list[Any]) -> list[Any]:
+def _get_rows(
+    cursor: Cursor,
+    shape: Shape,
+    count: int,
+    texts: dict[str, list[str]],
+    unknown: Unknown,
+    kind: _Kind | None = None,
+    hearing: _Hearing | None = None,
+    **common: list[Any],
+) -> list[Any]:
     """The structs whose columns come next. A column that this program knows under another type is passed over
     like one that it does not know, and takes its default where it has one."""
     wanted = {c.name: c for c in shape.columns}
@@ -413,8 +455,12 @@
     try:
         if len(found) == len(wanted) and list(found) == list(wanted):
             if common:
-                made = [cls(*row, at=at, adj=adj, src=src) for row, at, adj, src in zip(
-                    zip(*found.values(), strict=True), common["at"], common["adj"], common["src"], strict=True)]
+                made = [
+                    cls(*row, at=at, adj=adj, src=src)
+                    for row, at, adj, src in zip(
+                        zip(*found.values(), strict=True), common["at"], common["adj"], common["src"], strict=True
+                    )
+                ]
             else:
                 made = [cls(*row) for row in zip(*found.values(), strict=True)]
         else:
@@ -462,9 +508,17 @@
             made.append(None)
             continue
         times = [at[n] for n in mine]
-        of_these = _get_rows(body, SHAPES[cls], of_kind, texts, unknown,
-                             kind=_Kind(number, linked, [], times, where=mine, answers=answers), at=times,
-                             adj=[adj[n] for n in mine], src=[src[n] for n in mine])
+        of_these = _get_rows(
+            body,
+            SHAPES[cls],
+            of_kind,
+            texts,
+            unknown,
+            kind=_Kind(number, linked, [], times, where=mine, answers=answers),
+            at=times,
+            adj=[adj[n] for n in mine],
+            src=[src[n] for n in mine],
+        )
         if cls is Probed and of_these:
             numbers = {text: n for n, text in enumerate(texts.get("host", []))}
             answers[number] = _Answers(mine, [numbers[r.host] for r in of_these], of_these)
--- a/bramblestile/trace/pseudonyms.py
+++ b/bramblestile/trace/pseudonyms.py
@@ -58,8 +58,9 @@
             if isinstance(record, Request):
                 changed["bound_to"] = self._host(record.bound_to)
             elif isinstance(record, Decision):
-                changed["candidates"] = [msgspec.structs.replace(c, host=self.of("host", c.host))
-                                         for c in record.candidates]
+                changed["candidates"] = [
+                    msgspec.structs.replace(c, host=self.of("host", c.host)) for c in record.candidates
+                ]
             elif isinstance(record, Listed):
                 changed["hosts"] = [msgspec.structs.replace(h, host=self.of("host", h.host)) for h in record.hosts]
         made = msgspec.structs.replace(record, **changed) if changed else record
@@ -86,8 +87,10 @@
                 if not isinstance(value, str) or not value or value in seen:
                     continue
                 if value in self.kept or (len(value) >= WHOLE_VALUE and value in blob):
-                    raise TraceError(f"a {name} also stands in a field that is kept (a class, host or event of the "
-                                     "same name?): nothing was written")
+                    raise TraceError(
+                        f"a {name} also stands in a field that is kept (a class, host or event of the "
+                        "same name?): nothing was written"
+                    )
                 if len(seen) < 4096:  # tenants repeat, ids do not: a bounded memory of the first is enough
                     seen.add(value)
 
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -80,41 +80,97 @@
         self._put = put
 
     def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None:
-        self._put(records.Request(
-            request.id, front, request.cls, request.remaining_us, request.tenant, _hex(request.key),
-            _hex(request.group), request.load_hint, request.is_retry, request.is_return, bound_to,
-            at=at // MICROSECOND))
+        self._put(
+            records.Request(
+                request.id,
+                front,
+                request.cls,
+                request.remaining_us,
+                request.tenant,
+                _hex(request.key),
+                _hex(request.group),
+                request.load_hint,
+                request.is_retry,
+                request.is_return,
+                bound_to,
+                at=at // MICROSECOND,
+            )
+        )
 
     def decision(self, at: timedelta, view: View) -> None:
-        self._put(records.Decision(
-            view.id, view.what, view.why, view.number, view.host,
-            None if view.until_us is None else view.until_us - at // MICROSECOND, view.wait_us,
-            rounded(view.average, 1000), rounded(view.lateness, 1000), view.beliefs, at=at // MICROSECOND))
+        self._put(
+            records.Decision(
+                view.id,
+                view.what,
+                view.why,
+                view.number,
+                view.host,
+                None if view.until_us is None else view.until_us - at // MICROSECOND,
+                view.wait_us,
+                rounded(view.average, 1000),
+                rounded(view.lateness, 1000),
+                view.beliefs,
+                at=at // MICROSECOND,
+            )
+        )
 
     def probe_sent(self, at: timedelta, front: str, host: str) -> None:
         self._put(records.ProbeSent(host, front, at=at // MICROSECOND))
 
     def probed(self, at: timedelta, front: str, result: api.ProbeResult) -> None:
         said = result.report or api.Report()
-        self._put(records.Probed(
-            result.backend, result.status.name.lower(), result.took_us, front, said.load, said.utilisation,
-            said.queue, said.inflight, said.backlog_s, said.latency_ms, at=at // MICROSECOND))
-
-    def attempt(self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int,
-                detail: str = "") -> None:
+        self._put(
+            records.Probed(
+                result.backend,
+                result.status.name.lower(),
+                result.took_us,
+                front,
+                said.load,
+                said.utilisation,
+                said.queue,
+                said.inflight,
+                said.backlog_s,
+                said.latency_ms,
+                at=at // MICROSECOND,
+            )
+        )
+
+    def attempt(
+        self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
+    ) -> None:
         self._put(records.Attempt(id, number, host, status, took_us, detail or None, at=at // MICROSECOND))
 
-    def answer(self, at: timedelta, request: api.Request, outcome: str, attempts: int, took: timedelta,
-               host: str | None = None, wait_us: int | None = None) -> None:
-        self._put(records.Answer(request.id, outcome, request.cls, attempts, took // MICROSECOND, request.tenant,
-                                 host, wait_us, at=at // MICROSECOND))
+    def answer(
+        self,
+        at: timedelta,
+        request: api.Request,
+        outcome: str,
+        attempts: int,
+        took: timedelta,
+        host: str | None = None,
+        wait_us: int | None = None,
+    ) -> None:
+        self._put(
+            records.Answer(
+                request.id,
+                outcome,
+                request.cls,
+                attempts,
+                took // MICROSECOND,
+                request.tenant,
+                host,
+                wait_us,
+                at=at // MICROSECOND,
+            )
+        )
 
     def stand(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
         self._put(records.Stand(id, host, resumed, at=at // MICROSECOND))
 
     def note(self, at: timedelta, note: api.Note) -> None:
-        self._put(records.Note(note.id, note.backend, note.kind.name.lower(), rounded(note.value, 1000),
-                               at=at // MICROSECOND))
+        self._put(
+            records.Note(note.id, note.backend, note.kind.name.lower(), rounded(note.value, 1000), at=at // MICROSECOND)
+        )
 
     def moved(self, at: timedelta, id: str, host: str, reason: str) -> None:
         self._put(records.Moved(id, host, reason, at=at // MICROSECOND))
@@ -123,9 +179,14 @@
         self._put(records.Ended(id, host, status, took // MICROSECOND, moved, at=at // MICROSECOND))
 
     def listed(self, at: timedelta, front: str, event: api.BackendList) -> None:
-        self._put(records.Listed(front, event.mode.value, [
-            records.HostState(b.name, b.state.value, b.zone, b.weight, b.started_us or 0) for b in event.backends],
-            at=at // MICROSECOND))
+        self._put(
+            records.Listed(
+                front,
+                event.mode.value,
+                [records.HostState(b.name, b.state.value, b.zone, b.weight, b.started_us or 0) for b in event.backends],
+                at=at // MICROSECOND,
+            )
+        )
 
     def started(self, at: timedelta, hall: str, fronts: Sequence[str]) -> None:
         self._put(records.Started(hall, __version__, ",".join(fronts), at=at // MICROSECOND))
@@ -138,8 +199,13 @@
 
 
 class Recorder(Shaper):
-    def __init__(self, plan: Plan, counters: Counters, open_: Callable[[Path], BinaryIO] = open_file,
-                 clock: Callable[[], timedelta] = now) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        counters: Counters,
+        open_: Callable[[Path], BinaryIO] = open_file,
+        clock: Callable[[], timedelta] = now,
+    ) -> None:
         super().__init__(self._take)
         self.plan = plan
         self.losses = Losses()
@@ -179,8 +245,9 @@
         """A sink of the log's."""
         if fields.get("part") != "trace":  # our own troubles must not feed themselves
             id_ = fields.get("id")
-            self._put(records.Logged(level, event, text, None if id_ is None else str(id_),
-                                     at=self._clock() // MICROSECOND))
+            self._put(
+                records.Logged(level, event, text, None if id_ is None else str(id_), at=self._clock() // MICROSECOND)
+            )
 
     # The writer's thread.
 
@@ -224,7 +291,7 @@
             self.losses.add(DISK, len(rows), rows[0].at)
             return
         for start in range(0, len(rows), BLOCK):
-            if not self._write(rows[start:start + BLOCK], at):
+            if not self._write(rows[start : start + BLOCK], at):
                 self.losses.add(DISK, len(rows) - start, rows[start].at)
                 return
         self._pace.succeeded()
@@ -257,10 +324,20 @@
             self._make_room()
             self._file = self._open(self.plan.directory / self._name)
             self._sound = 0
-            self._writer = Writer(_Whole(self._file), {
-                "instance": self.plan.instance, "hall": self.plan.hall, "program": __version__,
-                "opened_us": at // MICROSECOND, "flush_us": self.plan.flush // MICROSECOND,
-                "keep": dict(self.plan.keep)}, LEVEL, BLOCK, frames.ROWS)
+            self._writer = Writer(
+                _Whole(self._file),
+                {
+                    "instance": self.plan.instance,
+                    "hall": self.plan.hall,
+                    "program": __version__,
+                    "opened_us": at // MICROSECOND,
+                    "flush_us": self.plan.flush // MICROSECOND,
+                    "keep": dict(self.plan.keep),
+                },
+                LEVEL,
+                BLOCK,
+                frames.ROWS,
+            )
             self._opened = at
         return self._writer
 
