--- a/bramblestile/trace/records.py
+++ b/bramblestile/trace/records.py
@@ -215,10 +215,41 @@
 
 
 KINDS: tuple[type[Record], ...] = (
-    Started, Stopped, Reloaded, Logged, Request, ProbeSent, Probed, Decision, Attempt, Answer, Stand, Note, Moved,
-    Ended, Listed, Lost)
-AnyRecord = (Started | Stopped | Reloaded | Logged | Request | ProbeSent | Probed | Decision | Attempt | Answer
-             | Stand | Note | Moved | Ended | Listed | Lost)
+    Started,
+    Stopped,
+    Reloaded,
+    Logged,
+    Request,
+    ProbeSent,
+    Probed,
+    Decision,
+    Attempt,
+    Answer,
+    Stand,
+    Note,
+    Moved,
+    Ended,
+    Listed,
+    Lost,
+)
+AnyRecord = (
+    Started
+    | Stopped
+    | Reloaded
+    | Logged
+    | Request
+    | ProbeSent
+    | Probed
+    | Decision
+    | Attempt
+    | Answer
+    | Stand
+    | Note
+    | Moved
+    | Ended
+    | Listed
+    | Lost
+)
 
 
 def name_of(cls: type[Record]) -> str:
--- a/bramblestile/trace/rows.py
+++ b/bramblestile/trace/rows.py
@@ -18,7 +18,8 @@
 _rows: msgspec.msgpack.Decoder[list[AnyRecord]] = msgspec.msgpack.Decoder(list[AnyRecord])
 _one: msgspec.msgpack.Decoder[AnyRecord] = msgspec.msgpack.Decoder(AnyRecord)
 _any: msgspec.msgpack.Decoder[tuple[dict[str, list[str]], list[msgspec.Raw]]] = msgspec.msgpack.Decoder(
-    tuple[dict[str, list[str]], list[msgspec.Raw]])
+    tuple[dict[str, list[str]], list[msgspec.Raw]]
+)
 
 
 class _Tag(msgspec.Struct):
@@ -39,7 +40,7 @@
     """ColumnError where it is none."""
     try:
         if raw.startswith(_HEAD):
-            made: list[Record] = list(_rows.decode(raw[len(_HEAD):]))
+            made: list[Record] = list(_rows.decode(raw[len(_HEAD) :]))
         else:
             made = _foreign(raw, unknown)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -62,4 +63,3 @@
             unknown.add(f"{kind}.{name}", 1)
         made.append(_one.decode(row))
     return made
-
--- a/bramblestile/trace/schema.py
+++ b/bramblestile/trace/schema.py
@@ -70,6 +70,9 @@
 }
 # Columns of a decision's candidates that a host's own answer sets until the next one: from which kind, and to what.
 TOLD: dict[str, tuple[type[Record], int]] = {
-    "load_at": (records.Probed, TIME), "load": (records.Probed, SAME), "placed": (records.Probed, ZERO)}
+    "load_at": (records.Probed, TIME),
+    "load": (records.Probed, SAME),
+    "placed": (records.Probed, ZERO),
+}
 SHAPES: dict[type[Record], Shape] = {cls: shape(cls) for cls in KINDS}
 BY_NAME: dict[str, type[Record]] = {name_of(cls): cls for cls in KINDS}
--- a/bramblestile/trace/story.py
+++ b/bramblestile/trace/story.py
@@ -19,11 +19,19 @@
     corrected,
 )
 
-WHY = {"first": "the first choice for it", "again": "the client tries again", "retry": "the attempt before failed",
-       "return": "the client comes back after a move or a cut"}
-MOVES = {"drain": "its host drains", "mute": "nothing came back on it",
-         "hush": "its host went silent on every connection", "overload": "its host was too loaded",
-         "stop": "this balancer stops"}
+WHY = {
+    "first": "the first choice for it",
+    "again": "the client tries again",
+    "retry": "the attempt before failed",
+    "return": "the client comes back after a move or a cut",
+}
+MOVES = {
+    "drain": "its host drains",
+    "mute": "nothing came back on it",
+    "hush": "its host went silent on every connection",
+    "overload": "its host was too loaded",
+    "stop": "this balancer stops",
+}
 
 
 def span(us: float) -> str:
@@ -50,10 +58,19 @@
 
 def _lines(record: Record) -> Iterator[str]:
     if isinstance(record, Request):
-        marks = [name for name, on in (("a client's retry", record.is_retry), ("come again", record.is_return),
-                                       (f"held by {record.bound_to} before", record.bound_to)) if on]
-        yield (f"asked on {record.front}: class {record.cls}, tenant {record.tenant or '-'}, group "
-               f"{record.group or '-'}, waits {span(record.wait_us)}" + "".join(f", {m}" for m in marks))
+        marks = [
+            name
+            for name, on in (
+                ("a client's retry", record.is_retry),
+                ("come again", record.is_return),
+                (f"held by {record.bound_to} before", record.bound_to),
+            )
+            if on
+        ]
+        yield (
+            f"asked on {record.front}: class {record.cls}, tenant {record.tenant or '-'}, group "
+            f"{record.group or '-'}, waits {span(record.wait_us)}" + "".join(f", {m}" for m in marks)
+        )
     elif isinstance(record, Decision):
         yield from _decision(record)
     elif isinstance(record, Attempt):
@@ -94,14 +111,25 @@
 
 
 def _candidate(one: Candidate, total: float, record: Decision) -> str:
-    told = (("masked", one.masked), ("draining", one.draining), ("asked, no answer yet", one.asked),
-            ("tried before", one.tried), (f"cold, {one.warmth:.0%} warm", one.warmth < 1))
+    told = (
+        ("masked", one.masked),
+        ("draining", one.draining),
+        ("asked, no answer yet", one.asked),
+        ("tried before", one.tried),
+        (f"cold, {one.warmth:.0%} warm", one.warmth < 1),
+    )
     marks = [name for name, on in told if on]
-    known = "load never told" if one.load is None else (
-        f"load {one.load:.2f} told {span(max(0, record.at - one.load_at))} before")
+    known = (
+        "load never told"
+        if one.load is None
+        else (f"load {one.load:.2f} told {span(max(0, record.at - one.load_at))} before")
+    )
     believed = "" if one.believed is None else f", believed {one.believed:.2f}"
     placed = f", {one.placed} placed since" if one.placed else ""
-    chance = (f"{(one.weight or 0) / total:.0%} of the draw (weight {one.weight:g})" if one.weight is not None and total
-              else "not in the draw")
+    chance = (
+        f"{(one.weight or 0) / total:.0%} of the draw (weight {one.weight:g})"
+        if one.weight is not None and total
+        else "not in the draw"
+    )
     arrow = "->" if one.host == record.host else "  "
     return f"{arrow} {one.host}: {chance}, {known}{believed}{placed}" + "".join(f", {m}" for m in marks)
--- a/bramblestile/trace/summary.py
+++ b/bramblestile/trace/summary.py
@@ -145,8 +145,9 @@
         for group in self._of(at, record, host=host):
             group.counts[what] += 1
 
-    def _of(self, at: int, record: Record, cls: str | None = None, tenant: str | None = None,
-            host: str | None = None) -> list[Group]:
+    def _of(
+        self, at: int, record: Record, cls: str | None = None, tenant: str | None = None, host: str | None = None
+    ) -> list[Group]:
         """All the groups that a record belongs to."""
         found = [self.total]
         named = {"class": cls, "tenant": tenant, "host": host, "hall": self.halls.get(record.src, record.src or "-")}
@@ -166,9 +167,12 @@
     def as_counters(self) -> dict[str, int]:
         """Under the names of the daemon's counters, for the same run and no sampling."""
         made = {
-            "requests": self.kinds["Request"], "resumed": self.resumed,
-            "answered_served": self.total.counts["served"], "answered_refused": self.total.counts["refused"],
-            "answered_failed": self.total.counts["failed"], "downstream_left": self.total.counts["left"],
+            "requests": self.kinds["Request"],
+            "resumed": self.resumed,
+            "answered_served": self.total.counts["served"],
+            "answered_refused": self.total.counts["refused"],
+            "answered_failed": self.total.counts["failed"],
+            "downstream_left": self.total.counts["left"],
             "moved": self.ends["moved"],
             **{f"ended_{status}": count for status, count in self.ends.items() if status != "moved"},
         }
@@ -176,11 +180,15 @@
 
     def as_json(self) -> dict[str, Any]:
         return {
-            "from_us": self.first, "to_us": self.last, "total": self.total.row(),
+            "from_us": self.first,
+            "to_us": self.last,
+            "total": self.total.row(),
             **{f"by_{name}": {key: group.row() for key, group in sorted(self.groups[name].items())} for name in BY},
             "windows": [{"from_us": at, **group.row()} for at, group in sorted(self.windows.items())],
-            "upstream": dict(sorted(self.statuses.items())), "moves": dict(sorted(self.moves.items())),
-            "ends": dict(sorted(self.ends.items())), "lost": dict(sorted(self.lost.items())),
+            "upstream": dict(sorted(self.statuses.items())),
+            "moves": dict(sorted(self.moves.items())),
+            "ends": dict(sorted(self.ends.items())),
+            "lost": dict(sorted(self.lost.items())),
             "counters": self.as_counters(),
         }
 
@@ -213,25 +221,42 @@
     for name in sorted({*one.groups["class"], *other.groups["class"]}):
         a, b = (s.groups["class"].get(name, Group()) for s in (one, other))
         for what in OUTCOMES:
-            out.append(_share("class", name, what, a.counts[what], a.counts["answers"], b.counts[what],
-                              b.counts["answers"]))
+            out.append(
+                _share("class", name, what, a.counts[what], a.counts["answers"], b.counts[what], b.counts["answers"])
+            )
         for what in ("p50", "p99"):
             values = [g.up.quantiles().get(what) if g.up else None for g in (a, b)]
-            out.append({"by": "class", "name": name, "what": f"up_{what}_us", "a": values[0], "b": values[1],
-                        "z": None, "beyond_chance": None})
+            out.append(
+                {
+                    "by": "class",
+                    "name": name,
+                    "what": f"up_{what}_us",
+                    "a": values[0],
+                    "b": values[1],
+                    "z": None,
+                    "beyond_chance": None,
+                }
+            )
     placed = [sum(g.counts["placed"] for g in s.groups["host"].values()) for s in (one, other)]
     for name in sorted({*one.groups["host"], *other.groups["host"]}):
         a, b = (s.groups["host"].get(name, Group()) for s in (one, other))
         out.append(_share("host", name, "placed", a.counts["placed"], placed[0], b.counts["placed"], placed[1]))
         for what in ("ended_cut", "moved"):
             if a.counts[what] or b.counts[what]:
-                out.append(_share("host", name, what, a.counts[what], a.counts["placed"], b.counts[what],
-                                  b.counts["placed"]))
+                out.append(
+                    _share("host", name, what, a.counts[what], a.counts["placed"], b.counts[what], b.counts["placed"])
+                )
     return out
 
 
 def _share(by: str, name: str, what: str, a: int, of_a: int, b: int, of_b: int) -> dict[str, Any]:
     z = z_of(a, of_a, b, of_b)
-    return {"by": by, "name": name, "what": what, "a": round(a / of_a, 4) if of_a else None,
-            "b": round(b / of_b, 4) if of_b else None, "z": None if z is None else round(z, 1),
-            "beyond_chance": None if z is None else abs(z) > CHANCE}
+    return {
+        "by": by,
+        "name": name,
+        "what": what,
+        "a": round(a / of_a, 4) if of_a else None,
+        "b": round(b / of_b, 4) if of_b else None,
+        "z": None if z is None else round(z, 1),
+        "beyond_chance": None if z is None else abs(z) > CHANCE,
+    }
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -28,11 +28,20 @@
 
     def probed(self, at: timedelta, front: str, result: api.ProbeResult) -> None: ...
 
-    def attempt(self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int,
-                detail: str = "") -> None: ...
-
-    def answer(self, at: timedelta, request: api.Request, outcome: str, attempts: int, took: timedelta,
-               host: str | None = None, wait_us: int | None = None) -> None: ...
+    def attempt(
+        self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
+    ) -> None: ...
+
+    def answer(
+        self,
+        at: timedelta,
+        request: api.Request,
+        outcome: str,
+        attempts: int,
+        took: timedelta,
+        host: str | None = None,
+        wait_us: int | None = None,
+    ) -> None: ...
 
     def stand(self, at: timedelta, id: str, host: str, resumed: bool) -> None: ...
 
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -18,8 +18,16 @@
 
 LONGEST = 4096
 WITHIN = timedelta(seconds=2)  # for the other side's request
-TAKES_WORK = {"up": True, "ready": True, "down": False, "fail": False, "failed": False, "stopped": False,
-              "drain": False, "maint": False}
+TAKES_WORK = {
+    "up": True,
+    "ready": True,
+    "down": False,
+    "fail": False,
+    "failed": False,
+    "stopped": False,
+    "drain": False,
+    "maint": False,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,8 +66,9 @@
         reader = LineReader(sock, LONGEST)
         try:
             if check.path is not None:
-                sockets.write(sock, [b"GET ", check.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\n"
-                                     b"Connection: close\r\n\r\n"])
+                sockets.write(
+                    sock, [b"GET ", check.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\nConnection: close\r\n\r\n"]
+                )
             line = reader.line(max(until - now(), NOTHING))
         except sockets.OverlongError:
             raise ConnectionError("an over-long answer") from None
--- a/bramblestile/wire/checks.py
+++ b/bramblestile/wire/checks.py
@@ -16,8 +16,9 @@
 
 
 class Checks:
-    def __init__(self, checks: Mapping[str, Check], every: timedelta, tell: Callable[[str, Opinion], None],
-                 counters: Counters) -> None:
+    def __init__(
+        self, checks: Mapping[str, Check], every: timedelta, tell: Callable[[str, Opinion], None], counters: Counters
+    ) -> None:
         self._checks = checks
         self._every = every
         self._tell = tell
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -39,8 +39,7 @@
     def _reply(self, line: bytes) -> None:
         sockets.last_word(self._sock, line)
 
-    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta,
-                         may_send: CanSend) -> Answer:
+    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
         """Dials and asks; the connection is closed unless the answer keeps it."""
         try:
             upstream = dial(min(connect_within, until - now()), until)
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -41,12 +41,19 @@
     for entry in entries:
         try:
             born = int(entry.get("born_ms") or 0)
-            found.append(UpstreamHost(
-                id=str(entry["host"]), address=address(str(entry["dial"])), zone=str(entry.get("site", "")),
-                kind=str(entry.get("class", "")), cell=int(entry.get("block") or 0),
-                weight=float(entry.get("share", 1.0)), state=STATES[entry["health"]],
-                born=timedelta(milliseconds=born) if born else None,
-                tls_name=str(entry.get("tls_name") or "")))
+            found.append(
+                UpstreamHost(
+                    id=str(entry["host"]),
+                    address=address(str(entry["dial"])),
+                    zone=str(entry.get("site", "")),
+                    kind=str(entry.get("class", "")),
+                    cell=int(entry.get("block") or 0),
+                    weight=float(entry.get("share", 1.0)),
+                    state=STATES[entry["health"]],
+                    born=timedelta(milliseconds=born) if born else None,
+                    tls_name=str(entry.get("tls_name") or ""),
+                )
+            )
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             raise ValueError(f"entry {entry!r}: {error!r}") from None
     return found
@@ -190,9 +197,13 @@
     call that comes later than 200 ms starts a new watch.
     """
 
-    def __init__(self, discovery: Address, version: int | None,
-                 tell: Callable[[ListMode, Sequence[UpstreamHost]], None],
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        discovery: Address,
+        version: int | None,
+        tell: Callable[[ListMode, Sequence[UpstreamHost]], None],
+        log: Callable[[str], None],
+    ) -> None:
         self._caller = self._version_from = HttpCaller(discovery)
         self.version = version  # None: nothing is held of this discovery's, so the whole list is asked for
         self._tell = tell
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -28,9 +28,20 @@
 LARGEST_HINT = 1e12
 OUTCOMES = {"BYE": Status.SERVED, "MOVE": Status.CANCELLED, "ERR": Status.ERROR, "BUSY": Status.NO_ROOM}
 REPORT_FIELDS = {
-    "x0": "load", "util": "utilisation", "busy": "utilisation", "queue": "queue", "q": "queue",
-    "inflight": "inflight", "rif": "inflight", "x1": "backlog_s", "latency_ms": "latency_ms",
-    "lat_ms": "latency_ms", "qps": "rate", "rate": "rate", "eps": "error_rate", "fail_rate": "error_rate",
+    "x0": "load",
+    "util": "utilisation",
+    "busy": "utilisation",
+    "queue": "queue",
+    "q": "queue",
+    "inflight": "inflight",
+    "rif": "inflight",
+    "x1": "backlog_s",
+    "latency_ms": "latency_ms",
+    "lat_ms": "latency_ms",
+    "qps": "rate",
+    "rate": "rate",
+    "eps": "error_rate",
+    "fail_rate": "error_rate",
 }
 
 
@@ -51,7 +62,7 @@
         if self.d_start == self.d_end:
             return [self.line]
         view = memoryview(self.line)
-        return [view[:self.d_start], b"%d" % max(1, milliseconds(wait)), view[self.d_end:]]
+        return [view[: self.d_start], b"%d" % max(1, milliseconds(wait)), view[self.d_end :]]
 
 
 def parse_open(line: memoryview) -> tuple[Asked, Head]:
@@ -78,9 +89,18 @@
     hint = _number(values["h"].encode()) if values.get("h") else None
     if hint is not None and not 0 <= hint < LARGEST_HINT:
         raise MalformedError(f"h: {values['h'][:20]!r}")
-    asked = Asked(str(words[1], "ascii", "replace"), values.get("c", ""), wait - WAY_BACK, values.get("t"),
-                  _tag(str(words[2], "ascii", "replace")), _tag(values.get("g", "")), hint,
-                  values.get("r") == "1", values.get("again") == "1", bound_to)
+    asked = Asked(
+        str(words[1], "ascii", "replace"),
+        values.get("c", ""),
+        wait - WAY_BACK,
+        values.get("t"),
+        _tag(str(words[2], "ascii", "replace")),
+        _tag(values.get("g", "")),
+        hint,
+        values.get("r") == "1",
+        values.get("again") == "1",
+        bound_to,
+    )
     return asked, Head(raw, d_start, d_end)
 
 
@@ -197,11 +217,21 @@
         return Up(standing(self._asked.id, "", self._sock, upstream, self._reader.rest(), bytes(line) + reader.rest()))
 
 
-def standing(name: str, host: str, downstream: socket.socket, upstream: Side, first_up: bytes,
-             first_down: bytes) -> Standing:
+def standing(
+    name: str, host: str, downstream: socket.socket, upstream: Side, first_up: bytes, first_down: bytes
+) -> Standing:
     """A connection of this protocol that is up. The framers keep nothing between two reads."""
-    return Standing(name, host, downstream, upstream, MOVE, LineFramer(FROM_UPSTREAM, Kind.ANSWER), PlainFramer(),
-                    first_up=first_up, first_down=first_down)
+    return Standing(
+        name,
+        host,
+        downstream,
+        upstream,
+        MOVE,
+        LineFramer(FROM_UPSTREAM, Kind.ANSWER),
+        PlainFramer(),
+        first_up=first_up,
+        first_down=first_down,
+    )
 
 
 class Prober:
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -71,8 +71,13 @@
 
     def info(self, ldm: bool = False) -> bytes:
         said: dict[str, Any] = {
-            "server_id": self.name, "server_name": self.name, "version": "2.10.0", "proto": 1,
-            "headers": True, "host": self.address[0], "port": self.address[1],
+            "server_id": self.name,
+            "server_name": self.name,
+            "version": "2.10.0",
+            "proto": 1,
+            "headers": True,
+            "host": self.address[0],
+            "port": self.address[1],
             "max_payload": self.max_payload,
         }
         if ldm:
@@ -80,8 +85,9 @@
         return b"INFO " + json.dumps(said, separators=(",", ":")).encode() + b"\r\n"
 
 
-def read_connect(sock: socket.socket, reader: LineReader, greeting: Greeting,
-                 waits: Mapping[str, timedelta]) -> tuple[Asked, bytes, bool] | None:
+def read_connect(
+    sock: socket.socket, reader: LineReader, greeting: Greeting, waits: Mapping[str, timedelta]
+) -> tuple[Asked, bytes, bool] | None:
     """The client's CONNECT: what it asks for, the line as it came, whether it is verbose. None: it left."""
     until = now() + CONNECT_WITHIN
     for _ in range(MOST_PINGS):
@@ -182,7 +188,7 @@
                 raise ViolationError(LINE_LIMIT)
             if end < 0:
                 break
-            messages.append(self._line(raw[at:end + 1]))
+            messages.append(self._line(raw[at : end + 1]))
             at = end + 1
         return at, messages
 
@@ -209,8 +215,9 @@
 class NatsDownstream(SocketDownstream):
     """One NATS client, whose CONNECT has been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, greeting: Greeting, asked: Asked,
-                 connect: bytes, verbose: bool) -> None:
+    def __init__(
+        self, sock: socket.socket, reader: LineReader, greeting: Greeting, asked: Asked, connect: bytes, verbose: bool
+    ) -> None:
         super().__init__(sock, reader, asked)
         self._greeting = greeting
         self._connect = connect
@@ -263,10 +270,18 @@
     def _standing(self, upstream: Side, reader: LineReader) -> Standing:
         greeting = self._greeting
         return Standing(
-            self._asked.id, "", self._sock, upstream, greeting.info(ldm=True),
-            NatsFramer({b"PONG": Kind.ANSWER}), NatsFramer({b"PING": Kind.ASK}, greeting.max_payload),
-            first_up=self._reader.rest(), first_down=(OK if self._verbose else b"") + reader.rest(),
-            started=True, says_last=False)
+            self._asked.id,
+            "",
+            self._sock,
+            upstream,
+            greeting.info(ldm=True),
+            NatsFramer({b"PONG": Kind.ANSWER}),
+            NatsFramer({b"PING": Kind.ASK}, greeting.max_payload),
+            first_up=self._reader.rest(),
+            first_down=(OK if self._verbose else b"") + reader.rest(),
+            started=True,
+            says_last=False,
+        )
 
 
 class Prober:
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -17,8 +17,14 @@
 
 
 class Probes:
-    def __init__(self, cluster: Cluster, make: Callable[[], tuple[Ask, Callable[[], None]]],
-                 within: timedelta, tell: Callable[[ProbeResult], None], counters: Counters) -> None:
+    def __init__(
+        self,
+        cluster: Cluster,
+        make: Callable[[], tuple[Ask, Callable[[], None]]],
+        within: timedelta,
+        tell: Callable[[ProbeResult], None],
+        counters: Counters,
+    ) -> None:
         self._cluster = cluster
         self._make = make
         self.within = within
--- a/bramblestile/work/foreman.py
+++ b/bramblestile/work/foreman.py
@@ -109,18 +109,39 @@
         entered = got.name in order.roster
         if entered:
             # Versions are places in the agreed log: it does not matter which leader told of them.
-            self.heard[got.name] = Heard(at, got.life, got.seen, got.plan, got.ahead if got.plan == order.id else 0,
-                                         frozenset(got.quiet), dict(got.standing), got.ready)
+            self.heard[got.name] = Heard(
+                at,
+                got.life,
+                got.seen,
+                got.plan,
+                got.ahead if got.plan == order.id else 0,
+                frozenset(got.quiet),
+                dict(got.standing),
+                got.ready,
+            )
         told = order.is_on
         have = got.have if got.plan == order.id else 0
         reply = Reply(
-            self.name, got.life, self.term, version, got.stamp, LEASE // MILLISECOND if entered else 0,
-            order.id if told else "", order.status, order.ahead, len(order.names) if told else 0,
-            {n: str(s) for n, s in order.left_alone().items()}, tuple(order.window()),
+            self.name,
+            got.life,
+            self.term,
+            version,
+            got.stamp,
+            LEASE // MILLISECOND if entered else 0,
+            order.id if told else "",
+            order.status,
+            order.ahead,
+            len(order.names) if told else 0,
+            {n: str(s) for n, s in order.left_alone().items()},
+            tuple(order.window()),
             tuple(m.name for m in order.machines.values() if m.stage in OVER)[-PAGE:] if told else (),
-            order.refuge() if told else (), have, order.names[have:have + PAGE] if told else (),
-            tuple(m.name for m in order.machines.values() if m.stage in (Stage.BACK, Stage.COLD))[:2 * PAGE],
-            self._poll_every(order) // MILLISECOND, self.full)
+            order.refuge() if told else (),
+            have,
+            order.names[have : have + PAGE] if told else (),
+            tuple(m.name for m in order.machines.values() if m.stage in (Stage.BACK, Stage.COLD))[: 2 * PAGE],
+            self._poll_every(order) // MILLISECOND,
+            self.full,
+        )
         wanted = order.id if told else ""
         if not entered or (got.plan == wanted and order.roster[got.name] != wanted):
             self.entering[got.name] = got.plan if got.plan == wanted else ""
@@ -137,8 +158,9 @@
         """What the roster still lacks of what balancers have said; it goes before any step. Seen: proposed only where a
         poll met no other proposal on its way, a leader's own taking up was not agreed on when it was cut off, and the
         next one waited for it for ever."""
-        self.entering = {n: plan for n, plan in self.entering.items()
-                         if order.roster.get(n) != plan and plan in ("", order.id)}
+        self.entering = {
+            n: plan for n, plan in self.entering.items() if order.roster.get(n) != plan and plan in ("", order.id)
+        }
         return [keys.roster_key(name, plan) for name, plan in self.entering.items()]
 
     def lacks(self, machine: Machine, order: Order, at: timedelta) -> dict[str, str]:
@@ -287,8 +309,9 @@
                 return Stage.BACK, ""
         return None
 
-    def _leave(self, machine: Machine, order: Order, fleet: Fleet, span: timedelta,
-               at: timedelta) -> tuple[Stage, str] | None:
+    def _leave(
+        self, machine: Machine, order: Order, fleet: Fleet, span: timedelta, at: timedelta
+    ) -> tuple[Stage, str] | None:
         if not self.lacks(machine, order, at) and (not self.standing(machine.name) or span > LEAVE_WITHIN):
             # What has failed meanwhile counts: then one more may not go, and this one serves until it may.
             others = {n: part for n, part in out_now(order, fleet).items() if n != machine.name}
@@ -299,10 +322,20 @@
 
     def shown(self, order: Order, at: timedelta) -> dict[str, object]:
         lacking = {m.name: self.lacks(m, order, at) for m in order.machines.values() if m.stage is Stage.LEAVING}
-        return {"plan": order.id, "status": str(order.status), "reason": order.reason, "why_none": self.why,
-                "machines": [{"name": m.name, "stage": str(m.stage), "why": m.why,
-                              "standing": self.standing(m.name) if m.stage in LEFT_ALONE else 0,
-                              "waits_for": lacking.get(m.name, {})}
-                             for m in sorted(order.machines.values(), key=lambda m: m.rank)],
-                "on_the_way": sum(m.stage in ON_THE_WAY for m in order.machines.values())}
-
+        return {
+            "plan": order.id,
+            "status": str(order.status),
+            "reason": order.reason,
+            "why_none": self.why,
+            "machines": [
+                {
+                    "name": m.name,
+                    "stage": str(m.stage),
+                    "why": m.why,
+                    "standing": self.standing(m.name) if m.stage in LEFT_ALONE else 0,
+                    "waits_for": lacking.get(m.name, {}),
+                }
+                for m in sorted(order.machines.values(), key=lambda m: m.rank)
+            ],
+            "on_the_way": sum(m.stage in ON_THE_WAY for m in order.machines.values()),
+        }
--- a/bramblestile/work/hand.py
+++ b/bramblestile/work/hand.py
@@ -69,9 +69,19 @@
         if self.heard_of(at) != "bound":
             self.every = POLL_EVERY  # nobody answers, or no plan is on: hundreds must not press on who is left
         self.due = at + self.every
-        return Poll(self.name, self.life, at // MICROSECOND, self.term, self.seen, self.plan, self.ahead,
-                    tuple(q for q in quiet if q in self.alone),
-                    {n: c for n, c in standing.items() if n in self.alone and c}, len(self.names), ready=ready)
+        return Poll(
+            self.name,
+            self.life,
+            at // MICROSECOND,
+            self.term,
+            self.seen,
+            self.plan,
+            self.ahead,
+            tuple(q for q in quiet if q in self.alone),
+            {n: c for n, c in standing.items() if n in self.alone and c},
+            len(self.names),
+            ready=ready,
+        )
 
     def hear(self, got: Reply, at: timedelta) -> bool:
         """True where it is news that the leader waits for: it is to be polled again at once."""
@@ -88,7 +98,7 @@
         self.every = min(POLL_EVERY, got.poll_ms * MILLISECOND) if got.poll_ms > 0 else POLL_EVERY
         self.over.update(got.over)
         if got.at == len(self.names) < got.count <= MOST_NAMES:
-            self.names += got.names[:got.count - got.at]
+            self.names += got.names[: got.count - got.at]
         if got.lease_ms:
             # From our own sending on: however late the answer is, the leader gave it after that.
             lease = got.stamp * MICROSECOND + min(got.lease_ms * MILLISECOND, LEASE)
--- a/bramblestile/work/office.py
+++ b/bramblestile/work/office.py
@@ -106,8 +106,17 @@
 class Office:
     """``directory``: where a voter keeps what it promised; None at all others."""
 
-    def __init__(self, name: str, voters: tuple[str, ...], directory: Path | None, kept_in: Path | None,
-                 gossip: Gossip, balancer: Balancer, counters: Counters, management: str = "") -> None:
+    def __init__(
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        directory: Path | None,
+        kept_in: Path | None,
+        gossip: Gossip,
+        balancer: Balancer,
+        counters: Counters,
+        management: str = "",
+    ) -> None:
         self.name, self.voters = name, voters
         self._gossip, self._balancer, self._counters = gossip, balancer, counters
         self._management = management
@@ -265,7 +274,8 @@
         hand = self.hand
         kept = {"kept": KEPT, **{part: _plain(getattr(hand, part)) for part in KEPT_PARTS}}
         if self._path is None or {k: v for k, v in kept.items() if k not in LOOSE} == {
-                k: v for k, v in self._kept.items() if k not in LOOSE}:
+            k: v for k, v in self._kept.items() if k not in LOOSE
+        }:
             return
         beside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
@@ -334,8 +344,9 @@
         foreman.apply(order, replica.applied, at)
         members = self._gossip.states()
         foreman.left = {name for name in order.roster if members.get(name) is State.LEFT}
-        foreman.outside = {name for name, state in members.items()
-                           if state <= State.SUSPECT and name not in order.roster}
+        foreman.outside = {
+            name for name, state in members.items() if state <= State.SUSPECT and name not in order.roster
+        }
         while not self._ended.empty():
             plan, machine, wrong = self._ended.get()
             self._working.pop(machine, None)
@@ -371,17 +382,25 @@
 
     def _fleet(self) -> dict[str, Seen]:
         by_hand = {host for hosts in self._by_hand.values() for host in hosts}
-        return {name: replace(seen, by_hand=True) if name in by_hand else seen
-                for name, seen in self._balancer.seen().items()}
+        return {
+            name: replace(seen, by_hand=True) if name in by_hand else seen
+            for name, seen in self._balancer.seen().items()
+        }
 
     def _machines(self, of_balancers: bool, order: Order, at: timedelta) -> dict[str, Seen]:
         """What a plan may name: image servers, or the balancers that take part."""
         if not of_balancers:
             return self._fleet()
         halls, members = self._gossip.halls(), self._gossip.states()
-        return {BALANCER + name: Seen(halls.get(name, ""), votes=name in self.voters, leads=name == self.name,
-                                      up=members.get(name) is State.ALIVE and self.foreman.serves(name, at))
-                for name in order.roster}
+        return {
+            BALANCER + name: Seen(
+                halls.get(name, ""),
+                votes=name in self.voters,
+                leads=name == self.name,
+                up=members.get(name) is State.ALIVE and self.foreman.serves(name, at),
+            )
+            for name in order.roster
+        }
 
     def _tidy(self, order: Order, members: Mapping[str, State], at: timedelta) -> tuple[str, str] | None:
         """Balancers that nobody knows any more leave the roster, while no plan is on."""
@@ -396,19 +415,27 @@
         if not order.command:
             return
         for machine in order.machines.values():
-            if machine.stage is Stage.OUT and machine.name not in self._working \
-                    and machine.name not in self.foreman.finished and machine.name not in self.foreman.failed:
+            if (
+                machine.stage is Stage.OUT
+                and machine.name not in self._working
+                and machine.name not in self.foreman.finished
+                and machine.name not in self.foreman.failed
+            ):
                 words = [word.replace("{}", machine.name.removeprefix(BALANCER)) for word in order.command]
                 self._working[machine.name] = threading.Thread(
-                    target=self._do, args=(order.id, machine.name, words, order.limits.span), daemon=True,
-                    name="work " + machine.name)
+                    target=self._do,
+                    args=(order.id, machine.name, words, order.limits.span),
+                    daemon=True,
+                    name="work " + machine.name,
+                )
                 self._working[machine.name].start()
 
     def _do(self, plan: str, machine: str, words: list[str], span: timedelta) -> None:
         wrong = ""
         try:
-            done = subprocess.run(words, timeout=span.total_seconds(), stdin=subprocess.DEVNULL, capture_output=True,
-                                  check=False)
+            done = subprocess.run(
+                words, timeout=span.total_seconds(), stdin=subprocess.DEVNULL, capture_output=True, check=False
+            )
             if done.returncode:
                 wrong = f"its command ended with {done.returncode}: {done.stderr[-80:].decode('utf-8', 'replace')}"
         except subprocess.TimeoutExpired:
@@ -490,12 +517,23 @@
             raise PlanError(f"{told}: one at a time")
         outside = sorted(self.foreman.outside.difference(asked.bystanders))
         if outside and not asked.of_balancers:
-            raise PlanError(f"bystanders: {', '.join(outside[:3])}: of the fleet, and no part in the order of work: "
-                            "nobody could keep it from sending there")
+            raise PlanError(
+                f"bystanders: {', '.join(outside[:3])}: of the fleet, and no part in the order of work: "
+                "nobody could keep it from sending there"
+            )
         names, tail = settle(asked, fleet)
         if call.verb == "plan":
-            call.answer = 200, json.dumps({"order": names, "refuge": names[len(names) - tail:],
-                                           "hall": {n: fleet[n].hall for n in names}, "busy": order.id or None})
+            call.answer = (
+                200,
+                json.dumps(
+                    {
+                        "order": names,
+                        "refuge": names[len(names) - tail :],
+                        "hall": {n: fleet[n].hall for n in names},
+                        "busy": order.id or None,
+                    }
+                ),
+            )
             return
         own = f"{at // MICROSECOND:x}-{self.name}"
         self._plan_keys += keys.begin(own, asked, names, tail, replica.values)
@@ -536,5 +574,3 @@
     if type(told) is not type(held):
         raise ValueError(f"{told!r:.40} makes no sense")
     return told
-
-
--- a/bramblestile/work/order.py
+++ b/bramblestile/work/order.py
@@ -47,7 +47,9 @@
     Stage.BACK: frozenset((Stage.COLD, Stage.HELD)),
     Stage.COLD: frozenset((Stage.DONE, Stage.HELD)),
     Stage.HELD: frozenset((Stage.BACK, Stage.DROPPED)),
-    Stage.DONE: frozenset(), Stage.DROPPED: frozenset()}
+    Stage.DONE: frozenset(),
+    Stage.DROPPED: frozenset(),
+}
 
 
 class Status(StrEnum):
@@ -109,7 +111,7 @@
         return [m.name for m in self.machines.values() if m.rank < self.ahead and m.stage not in OVER]
 
     def refuge(self) -> tuple[str, ...]:
-        return self.names[len(self.names) - self.tail:]
+        return self.names[len(self.names) - self.tail :]
 
 
 def load(values: Mapping[str, str]) -> Order:
@@ -131,33 +133,57 @@
             machines[name] = Machine(name, machines[name].rank, Stage(told["stage"]), told["why"], told["since"])
     ahead, floor = (json.loads(values.get(PREFIX + key, "{}")) for key in ("ahead", "floor"))
     limits = Limits(plan["most_out"], plan["least"], plan["apart"], timedelta(seconds=plan["limit_s"]))
-    return Order(own, Status(status["status"]), plan["reason"], limits, tuple(plan["command"]), tuple(names),
-                 ahead["rank"] if ahead.get("plan") == own else 0,
-                 floor["rank"] if floor.get("plan") == own else 0, plan["tail"], machines, _roster(values),
-                 tuple(plan.get("bystanders", ())))
+    return Order(
+        own,
+        Status(status["status"]),
+        plan["reason"],
+        limits,
+        tuple(plan["command"]),
+        tuple(names),
+        ahead["rank"] if ahead.get("plan") == own else 0,
+        floor["rank"] if floor.get("plan") == own else 0,
+        plan["tail"],
+        machines,
+        _roster(values),
+        tuple(plan.get("bystanders", ())),
+    )
 
 
 def _roster(values: Mapping[str, str]) -> dict[str, str]:
     start = PREFIX + "b/"
-    return {key[len(start):]: value.removeprefix("plan ") for key, value in values.items() if key.startswith(start)}
+    return {key[len(start) :]: value.removeprefix("plan ") for key, value in values.items() if key.startswith(start)}
 
 
 def _said(value: Any) -> str:
     return json.dumps(value, separators=(",", ":"))
 
 
-def begin(id_: str, asked: Asked, names: tuple[str, ...], tail: int, before: Mapping[str, str]) -> Iterator[
-        tuple[str, str]]:
+def begin(
+    id_: str, asked: Asked, names: tuple[str, ...], tail: int, before: Mapping[str, str]
+) -> Iterator[tuple[str, str]]:
     """The keys of a new plan; it holds from the last one on. What the plan before left is taken away first."""
     for key in before:
         if key.startswith((PREFIX + "m/", PREFIX + "order/")):
             yield key, ""
-    pages = [names[at:at + PAGE] for at in range(0, len(names), PAGE)]
+    pages = [names[at : at + PAGE] for at in range(0, len(names), PAGE)]
     limits = asked.limits
-    yield PREFIX + "plan", _said({
-        "id": id_, "reason": asked.reason, "command": asked.command, "pages": len(pages), "tail": tail,
-        "most_out": limits.most_out, "least": limits.least, "apart": limits.apart,
-        "limit_s": limits.span.total_seconds(), "bystanders": asked.bystanders})
+    yield (
+        PREFIX + "plan",
+        _said(
+            {
+                "id": id_,
+                "reason": asked.reason,
+                "command": asked.command,
+                "pages": len(pages),
+                "tail": tail,
+                "most_out": limits.most_out,
+                "least": limits.least,
+                "apart": limits.apart,
+                "limit_s": limits.span.total_seconds(),
+                "bystanders": asked.bystanders,
+            }
+        ),
+    )
     for number, page in enumerate(pages):
         yield f"{PREFIX}order/{number}", _said(page)
     yield status_key(id_, Status.RUNNING)
@@ -188,9 +214,16 @@
     start = PREFIX + "history/"
     old = sorted(key for key in values if key.startswith(start))
     stages = [m.stage for m in order.machines.values()]
-    told = {"id": order.id, "reason": order.reason, "ended_us": at, "aborted": order.status is Status.ABORTED,
-            "done": stages.count(Stage.DONE), "dropped": stages.count(Stage.DROPPED), "machines": len(stages)}
-    return [*((key, "") for key in old[:len(old) + 1 - MOST_HISTORY]), (start + order.id, _said(told))]
+    told = {
+        "id": order.id,
+        "reason": order.reason,
+        "ended_us": at,
+        "aborted": order.status is Status.ABORTED,
+        "done": stages.count(Stage.DONE),
+        "dropped": stages.count(Stage.DROPPED),
+        "machines": len(stages),
+    }
+    return [*((key, "") for key in old[: len(old) + 1 - MOST_HISTORY]), (start + order.id, _said(told))]
 
 
 def history(values: Mapping[str, str]) -> list[Any]:
--- a/bramblestile/work/plan.py
+++ b/bramblestile/work/plan.py
@@ -55,8 +55,17 @@
 
 
 def read(values: Mapping[str, Any]) -> Asked:
-    known = {"machines", "balancers", "reason", "most_out", "least_capacity", "halls_apart", "limit_s", "command",
-             "bystanders"}
+    known = {
+        "machines",
+        "balancers",
+        "reason",
+        "most_out",
+        "least_capacity",
+        "halls_apart",
+        "limit_s",
+        "command",
+        "bystanders",
+    }
     for key in values:
         if key not in known:
             raise PlanError(f"{key}: no such key")
@@ -76,8 +85,12 @@
     most = _number(values, "most_out", 1, 1, MOST_OUT)
     if most != int(most):
         raise PlanError(f"most_out: {most!r} is not a whole number")
-    limits = Limits(int(most), _number(values, "least_capacity", 0.75, 0, 1), apart,
-                    timedelta(seconds=_number(values, "limit_s", 600, 1, 86_400)))
+    limits = Limits(
+        int(most),
+        _number(values, "least_capacity", 0.75, 0, 1),
+        apart,
+        timedelta(seconds=_number(values, "limit_s", 600, 1, 86_400)),
+    )
     return Asked(machines, reason, limits, command, bystanders)
 
 
--- a/bramblestile/work/planner.py
+++ b/bramblestile/work/planner.py
@@ -68,17 +68,32 @@
         if name not in fleet:
             raise PlanError(f"machines: {name}: no image server of this name is listed")
         if fleet[name].votes and voters < 3:
-            raise PlanError(f"balancers: {name.removeprefix(BALANCER)} keeps the agreement, and without it no majority "
-                            "does")
+            raise PlanError(
+                f"balancers: {name.removeprefix(BALANCER)} keeps the agreement, and without it no majority does"
+            )
         stays = total - fleet[name].capacity
         if stays < asked.limits.least * total - 1e-9:
-            raise PlanError(f"least_capacity: without {name} there is {stays / total:.0%} left, and "
-                            f"{asked.limits.least:.0%} must stay")
+            raise PlanError(
+                f"least_capacity: without {name} there is {stays / total:.0%} left, and "
+                f"{asked.limits.least:.0%} must stay"
+            )
     of_hall: dict[str, float] = {}
     for name in asked.machines:
         of_hall[fleet[name].hall] = of_hall.get(fleet[name].hall, 0.0) + fleet[name].load
-    names = tuple(sorted(asked.machines, key=lambda n: (
-        fleet[n].leads, fleet[n].votes, of_hall[fleet[n].hall], fleet[n].hall, fleet[n].load, fleet[n].capacity, n)))
+    names = tuple(
+        sorted(
+            asked.machines,
+            key=lambda n: (
+                fleet[n].leads,
+                fleet[n].votes,
+                of_hall[fleet[n].hall],
+                fleet[n].hall,
+                fleet[n].load,
+                fleet[n].capacity,
+                n,
+            ),
+        )
+    )
     outside = len(fleet) - len(names)
     tail = 0 if asked.of_balancers else min(len(names), max(0, max(1, round(SHARE_OF_TAIL * len(fleet))) - outside))
     longest = sorted((len(name.encode()) for name in names), reverse=True)
@@ -120,8 +135,12 @@
     why = ""
     for machine in waiting:
         name = machine.name
-        reason = (not_yet(name, order, fleet) or why_not(name, order, fleet, missing)
-                  or too_full(name, fleet, missing, away) or no_room(name, order, fleet, away))
+        reason = (
+            not_yet(name, order, fleet)
+            or why_not(name, order, fleet, missing)
+            or too_full(name, fleet, missing, away)
+            or no_room(name, order, fleet, away)
+        )
         if not reason:
             return Choice(name)
         why = why or reason
@@ -134,8 +153,11 @@
     if seen is None or not seen.votes:
         return ""
     voters = [n for n, other in fleet.items() if other.votes]
-    others = [n for n in voters if n != name and fleet[n].up
-              and (n not in order.machines or order.machines[n].stage not in ON_THE_WAY)]
+    others = [
+        n
+        for n in voters
+        if n != name and fleet[n].up and (n not in order.machines or order.machines[n].stage not in ON_THE_WAY)
+    ]
     if 2 * len(others) <= len(voters):
         return f"without {name} no majority would keep the agreement"
     if seen.leads and any(m.stage in (Stage.WAITING, Stage.CLAIMED) for n, m in order.machines.items() if n != name):
@@ -154,8 +176,9 @@
     if sum(others.values()) > limits.most_out - 1 + 1e-9:
         return f"{_few(others)} missing already, {limits.most_out} at once"
     if limits.apart:
-        elsewhere = sorted(n for n, part in others.items() if part >= 1 - WARM and n in fleet
-                           and fleet[n].hall != seen.hall)
+        elsewhere = sorted(
+            n for n, part in others.items() if part >= 1 - WARM and n in fleet and fleet[n].hall != seen.hall
+        )
         if elsewhere:
             return f"{_few(elsewhere)} of another hall missing already"
     total, stays = sum(s.capacity for s in fleet.values()), _stays(name, fleet, missing)
@@ -205,8 +228,11 @@
 def room_to_stay(order: Order, fleet: Fleet, now: bool = False) -> float:
     """For clients, with machines whose turn is over or never comes."""
     still_to_go = ON_THE_WAY - {Stage.BACK} | {Stage.WAITING, Stage.CLAIMED}
-    return sum(seen.room(now) for n, seen in fleet.items() if seen.up and not seen.by_hand
-               and (n not in order.machines or order.machines[n].stage not in still_to_go))
+    return sum(
+        seen.room(now)
+        for n, seen in fleet.items()
+        if seen.up and not seen.by_hand and (n not in order.machines or order.machines[n].stage not in still_to_go)
+    )
 
 
 def to_claim(order: Order) -> tuple[int, list[str]]:
@@ -215,7 +241,7 @@
         return order.ahead, []
     begun = [m.rank for m in order.machines.values() if m.stage not in (Stage.WAITING, Stage.CLAIMED)]
     waiting = [m for m in _by_rank(order) if m.stage in (Stage.WAITING, Stage.CLAIMED)]
-    reach = waiting[:AHEAD * order.limits.most_out]
+    reach = waiting[: AHEAD * order.limits.most_out]
     ahead = max([order.ahead, *(rank + 1 for rank in begun), *(m.rank + 1 for m in reach)])
     return ahead, [m.name for m in _by_rank(order) if m.stage is Stage.WAITING and m.rank < ahead]
 
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -31,25 +31,39 @@
 class Authority:
     """A root, or with ``above`` an intermediate. ``files``: where what is issued lies."""
 
-    def __init__(self, subject: str = "test authority", above: Authority | None = None,
-                 since: timedelta = -DAY, until: timedelta = 30 * DAY) -> None:
+    def __init__(
+        self,
+        subject: str = "test authority",
+        above: Authority | None = None,
+        since: timedelta = -DAY,
+        until: timedelta = 30 * DAY,
+    ) -> None:
         self.above = above
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.cert: x509.Certificate
         now = datetime.now(UTC)
         signer = above.key if above else self.key
-        self.cert = self._builder(subject, above.cert.subject if above else common(subject), now + since, now + until,
-                                  self.key).add_extension(
-            x509.BasicConstraints(ca=True, path_length=None), critical=True).add_extension(
-            x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True).sign(
-            signer, hashes.SHA256())
+        self.cert = (
+            self._builder(subject, above.cert.subject if above else common(subject), now + since, now + until, self.key)
+            .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
+            .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
+            .sign(signer, hashes.SHA256())
+        )
         self.folder = Path(tempfile.mkdtemp(prefix="authority-"))
         self.file = self.write("ca.pem", pem(self.cert))
 
-    def _builder(self, subject: str, issuer: x509.Name, since: datetime, until: datetime,
-                 key: Key) -> x509.CertificateBuilder:
-        return x509.CertificateBuilder().subject_name(common(subject)).issuer_name(issuer).public_key(
-            key.public_key()).serial_number(x509.random_serial_number()).not_valid_before(since).not_valid_after(until)
+    def _builder(
+        self, subject: str, issuer: x509.Name, since: datetime, until: datetime, key: Key
+    ) -> x509.CertificateBuilder:
+        return (
+            x509.CertificateBuilder()
+            .subject_name(common(subject))
+            .issuer_name(issuer)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(since)
+            .not_valid_after(until)
+        )
 
     def write(self, file: str, raw: bytes) -> Path:
         path = self.folder / file
@@ -57,26 +71,44 @@
         path.chmod(0o600)
         return path
 
-    def issue(self, *names: str, since: timedelta = -DAY, until: timedelta = 7 * DAY, with_chain: bool = True,
-              server: bool = True, key: Key | None = None) -> Issued:
+    def issue(
+        self,
+        *names: str,
+        since: timedelta = -DAY,
+        until: timedelta = 7 * DAY,
+        with_chain: bool = True,
+        server: bool = True,
+        key: Key | None = None,
+    ) -> Issued:
         """A certificate for these names; the first is its subject too."""
         key = key or ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
         use = ExtendedKeyUsageOID.SERVER_AUTH if server else ExtendedKeyUsageOID.CLIENT_AUTH
-        cert = self._builder(names[0], self.cert.subject, now + since, now + until, key).add_extension(
-            x509.SubjectAlternativeName([alternative(n) for n in names]), critical=False).add_extension(
-            x509.ExtendedKeyUsage([use]), critical=False).sign(self.key, hashes.SHA256())
+        cert = (
+            self._builder(names[0], self.cert.subject, now + since, now + until, key)
+            .add_extension(x509.SubjectAlternativeName([alternative(n) for n in names]), critical=False)
+            .add_extension(x509.ExtendedKeyUsage([use]), critical=False)
+            .sign(self.key, hashes.SHA256())
+        )
         chain = [cert] + ([self.cert] if with_chain and self.above else [])
         return Issued(self, cert, key, chain)
 
     def revoke(self, *issued: Issued) -> Path:
         """A list of these as revoked."""
         now = datetime.now(UTC)
-        made = x509.CertificateRevocationListBuilder().issuer_name(self.cert.subject).last_update(
-            now - DAY).next_update(now + DAY)
+        made = (
+            x509.CertificateRevocationListBuilder()
+            .issuer_name(self.cert.subject)
+            .last_update(now - DAY)
+            .next_update(now + DAY)
+        )
         for one in issued:
-            made = made.add_revoked_certificate(x509.RevokedCertificateBuilder().serial_number(
-                one.cert.serial_number).revocation_date(now - DAY).build())
+            made = made.add_revoked_certificate(
+                x509.RevokedCertificateBuilder()
+                .serial_number(one.cert.serial_number)
+                .revocation_date(now - DAY)
+                .build()
+            )
         return self.write("revoked.pem", made.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -23,9 +23,11 @@
 
 CLASSES = (
     api.RequestClass("preview-stream", objective_us=400_000, deadline_us=1_600_000, message_aim_us=60_000),
-    api.RequestClass("catalogue-edit", objective_us=500_000, deadline_us=2_000_000, effect=api.Effect.UNSAFE,
-                     message_aim_us=150_000),
-    api.RequestClass("deep-zoom", objective_us=800_000, deadline_us=3_200_000, message_aim_us=100_000))
+    api.RequestClass(
+        "catalogue-edit", objective_us=500_000, deadline_us=2_000_000, effect=api.Effect.UNSAFE, message_aim_us=150_000
+    ),
+    api.RequestClass("deep-zoom", objective_us=800_000, deadline_us=3_200_000, message_aim_us=100_000),
+)
 TENANTS = ("vestland-museum", "fjord-kunstsamling", "trondheim-arkiv", "bergen-galleri")
 START = 1_796_000_000_000_000  # microseconds since the epoch
 
@@ -67,10 +69,22 @@
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.all = {f"s-{n * 2654435761 % 2**32:08x}": Host(f"s-{n * 2654435761 % 2**32:08x}",
-                    12 + n % 5 * 6, "bergen-hall" if n % 2 else "trondheim-hall") for n in range(self.hosts)}
-        settings = api.Settings(classes=CLASSES, zone="bergen-hall", groups=True, try_limit=6, cold_from=0.13,
-                                cold_us=21_000_000, drain_grace_us=250_000, max_retry_after_us=1_000_000)
+        self.all = {
+            f"s-{n * 2654435761 % 2**32:08x}": Host(
+                f"s-{n * 2654435761 % 2**32:08x}", 12 + n % 5 * 6, "bergen-hall" if n % 2 else "trondheim-hall"
+            )
+            for n in range(self.hosts)
+        }
+        settings = api.Settings(
+            classes=CLASSES,
+            zone="bergen-hall",
+            groups=True,
+            try_limit=6,
+            cold_from=0.13,
+            cold_us=21_000_000,
+            drain_grace_us=250_000,
+            max_retry_after_us=1_000_000,
+        )
         self.balancer = Witness(settings, self.seed)
         self.shape = Shaper(self.out.append)
         self.balancer.watching, self.balancer.belief = True, self.shape.belief
@@ -139,8 +153,9 @@
 
     def answered(self, client: Client, outcome: str, host: str | None = None, wait_us: int | None = None) -> None:
         took = (self.now - client.arrived) * MICROSECOND
-        self.shape.answer(self.clock(), client.request, outcome, client.number + (outcome == "served"), took, host,
-                          wait_us)
+        self.shape.answer(
+            self.clock(), client.request, outcome, client.number + (outcome == "served"), took, host, wait_us
+        )
         if outcome != "served":
             del self.clients[client.request.id]
 
@@ -148,8 +163,15 @@
         r = self.random
         cls = CLASSES[key % len(CLASSES)]
         group = (key % 800 + 1) * 0x9E3779B97F4A7C15 % 2**64  # clients of one collection
-        request = api.Request(f"{r.getrandbits(64):016x}", cls.name, cls.deadline_us - 15_000,
-                              TENANTS[key % 7 % len(TENANTS)], key, group, is_return=is_return)
+        request = api.Request(
+            f"{r.getrandbits(64):016x}",
+            cls.name,
+            cls.deadline_us - 15_000,
+            TENANTS[key % 7 % len(TENANTS)],
+            key,
+            group,
+            is_return=is_return,
+        )
         self.clients[request.id] = Client(request, self.now)
         self.shape.request(self.clock(), "lines", request, None)
         self.tell(request)
@@ -157,8 +179,7 @@
     # Events.
 
     def on_list(self, _: object) -> None:
-        self.tell(api.BackendList(api.ListMode.COMPLETE, tuple(
-            api.Backend(h.name, h.zone) for h in self.all.values())))
+        self.tell(api.BackendList(api.ListMode.COMPLETE, tuple(api.Backend(h.name, h.zone) for h in self.all.values())))
 
     def on_arrive(self, _: object) -> None:
         self.later(self.random.expovariate(self.rate) * 1e6, "arrive", None)
@@ -177,8 +198,11 @@
             self.tell(api.ProbeResult(name, api.Status.TIMED_OUT, 500_000))
             return
         load = round(host.load(), 3)
-        report = api.Report(load=load, queue=float(max(0, host.held - host.slots + 3)),
-                            latency_ms=round(2 + 30 * load**4 + self.random.random(), 1))
+        report = api.Report(
+            load=load,
+            queue=float(max(0, host.held - host.slots + 3)),
+            latency_ms=round(2 + 30 * load**4 + self.random.random(), 1),
+        )
         self.tell(api.ProbeResult(name, api.Status.SERVED, self.now - sent, report))
 
     def on_timer(self, token: object) -> None:
--- a/tests/load.py
+++ b/tests/load.py
@@ -24,12 +24,22 @@
 from typing import Any
 
 SETTINGS: dict[str, Any] = {
-    "classes": [{"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000},
-                {"name": "edit", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "unsafe"}],
+    "classes": [
+        {"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000},
+        {"name": "edit", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "unsafe"},
+    ],
     "parties": [{"name": "vestland-museum", "portion": 0.5}, {"name": "fjord-kunstsamling", "portion": 0.5}],
-    "membership_mode": "on_request", "report": {"how": "probe", "names": ["x0"]},
-    "limits": {"probes": True, "may_cancel": True, "try_limit": 6, "retry_after": True,
-               "max_retry_after_us": 400_000, "connect_timeout_us": 250_000}}
+    "membership_mode": "on_request",
+    "report": {"how": "probe", "names": ["x0"]},
+    "limits": {
+        "probes": True,
+        "may_cancel": True,
+        "try_limit": 6,
+        "retry_after": True,
+        "max_retry_after_us": 400_000,
+        "connect_timeout_us": 250_000,
+    },
+}
 
 
 class Hosts:
@@ -68,8 +78,9 @@
         def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Any:
             return self._serve(name, reader, writer)
 
-        server = await asyncio.start_server(serve, "127.0.0.1", port, backlog=512,
-                                            ssl=None if self.tls is None else self.tls(name))
+        server = await asyncio.start_server(
+            serve, "127.0.0.1", port, backlog=512, ssl=None if self.tls is None else self.tls(name)
+        )
         self._servers[name] = server
         self.addresses[name] = server.sockets[0].getsockname()[:2]
 
@@ -120,8 +131,15 @@
             writer.close()
 
     def entries(self) -> list[dict[str, Any]]:
-        return [{"host": name, "dial": "{}:{}".format(*self.addresses[name]), "health": "in_service",
-                 "born_ms": int(self.born.get(name, 0) * 1000)} for name in self.names]
+        return [
+            {
+                "host": name,
+                "dial": "{}:{}".format(*self.addresses[name]),
+                "health": "in_service",
+                "born_ms": int(self.born.get(name, 0) * 1000),
+            }
+            for name in self.names
+        ]
 
     def stop(self) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -140,8 +158,10 @@
         got["no connection"] += 1
         return False
     try:
-        writer.write(b"OPEN %016x %016x c=%s,t=%s,d=1500,g=%x\r\n" % (
-            r.getrandbits(64), number * 0x9E3779B97F4A7C15 % 2**64, cls.encode(), tenant.encode(), number % 50))
+        writer.write(
+            b"OPEN %016x %016x c=%s,t=%s,d=1500,g=%x\r\n"
+            % (r.getrandbits(64), number * 0x9E3779B97F4A7C15 % 2**64, cls.encode(), tenant.encode(), number % 50)
+        )
         answer = (await reader.readline()).split()
         got[answer[0].decode() if answer else "cut"] += 1
         end = time.monotonic() + stay
@@ -160,8 +180,9 @@
     return True
 
 
-async def _all(address: tuple[str, int], count: int, at_once: int, seed: int, within: float,
-               stay: float) -> Counter[str]:
+async def _all(
+    address: tuple[str, int], count: int, at_once: int, seed: int, within: float, stay: float
+) -> Counter[str]:
     got: Counter[str] = Counter()
     numbers, r = iter(range(count)), Random(seed)
 
@@ -176,8 +197,9 @@
     return got
 
 
-def load(address: tuple[str, int], count: int, at_once: int = 16, seed: int = 1, within: float = 60.0,
-         stay: float = 0.0) -> Counter[str]:
+def load(
+    address: tuple[str, int], count: int, at_once: int = 16, seed: int = 1, within: float = 60.0, stay: float = 0.0
+) -> Counter[str]:
     """``count`` requests, so many at once; the first words of what was answered. ``stay``: seconds until the client
     leaves; without it, it waits for the host's end."""
     return asyncio.run(_all(address, count, at_once, seed, within, stay))
@@ -195,14 +217,22 @@
     def __init__(self, folder: Path, hosts: Hosts, **config: Any) -> None:
         self.address = free_address()
         self.path = folder / "config.json"
-        self.values = {"name": "n1", "listen": "{}:{}".format(*self.address), "settings": SETTINGS,
-                       "known": {"seq": 1, "hosts": hosts.entries()},
-                       **{k: v for k, v in config.items() if v is not None}}
+        self.values = {
+            "name": "n1",
+            "listen": "{}:{}".format(*self.address),
+            "settings": SETTINGS,
+            "known": {"seq": 1, "hosts": hosts.entries()},
+            **{k: v for k, v in config.items() if v is not None},
+        }
         self.said: list[dict[str, Any]] = []
         self._news = threading.Condition()
         self.write()
-        self.process = subprocess.Popen([sys.executable, "-m", "bramblestile"], stderr=subprocess.PIPE, text=True,
-                                        env=os.environ | {"EDGE_CONFIG": str(self.path)})
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "bramblestile"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env=os.environ | {"EDGE_CONFIG": str(self.path)},
+        )
         self._reading = threading.Thread(target=self._read, daemon=True)
         self._reading.start()
 
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -11,8 +11,15 @@
 A = TypeVar("A")
 
 CLASS = api.RequestClass("feed", objective_us=800_000, deadline_us=3_200_000, message_aim_us=100_000)
-SETTINGS = api.Settings(classes=(CLASS,), zone="z0", cold_from=0.3, cold_us=8_000_000, fall_multiple=2.5,
-                        fall_us=3_000_000, drain_grace_us=250_000)
+SETTINGS = api.Settings(
+    classes=(CLASS,),
+    zone="z0",
+    cold_from=0.3,
+    cold_us=8_000_000,
+    fall_multiple=2.5,
+    fall_us=3_000_000,
+    drain_grace_us=250_000,
+)
 
 
 def fleet(size: int, **more: object) -> tuple[api.Backend, ...]:
@@ -61,8 +68,9 @@
         actions = self.tell(replace(base, **more))  # type: ignore[arg-type]
         return self.answer(actions)
 
-    def end(self, attempt: api.Attempt, status: api.Status, number: int = 0,
-            finished: bool = False) -> list[api.Action]:
+    def end(
+        self, attempt: api.Attempt, status: api.Status, number: int = 0, finished: bool = False
+    ) -> list[api.Action]:
         outcome = api.Outcome(attempt.id, number, attempt.backend, status, 1_000, finished)
         return self.answer(self.tell(outcome))
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -39,23 +39,41 @@
 LINES = {
     "ask": ["send OPEN {n}00000000000000{n} 7f3a c=feed,t=acme,d=1500,g=5c", "send early"],
     "ask-once": ["send OPEN {n}00000000000000{n} 7f3a c=once,t=acme,d=1500,g=5c"],
-    "taken": ["expect OPEN * 7f3a c=*,t=acme,d=*,g=5c"], "up": ["send UP r1", "expect early"],
-    "full": ["send BUSY"], "error": ["send ERR"], "served": ["expect UP r1"], "hello": [],
-    "refused": ["expect BUSY*", "ends"], "failed": ["expect ERR", "ends"], "moved": ["expect MOVE", "ends"],
-    "says": ["send line one"], "hears": ["expect line one"], "bye": ["send BYE"],
-    "greeted": ["connect"], "word": ["expect ERR"], "unread": ["word", "ends"], "late": ["unread"],
+    "taken": ["expect OPEN * 7f3a c=*,t=acme,d=*,g=5c"],
+    "up": ["send UP r1", "expect early"],
+    "full": ["send BUSY"],
+    "error": ["send ERR"],
+    "served": ["expect UP r1"],
+    "hello": [],
+    "refused": ["expect BUSY*", "ends"],
+    "failed": ["expect ERR", "ends"],
+    "moved": ["expect MOVE", "ends"],
+    "says": ["send line one"],
+    "hears": ["expect line one"],
+    "bye": ["send BYE"],
+    "greeted": ["connect"],
+    "word": ["expect ERR"],
+    "unread": ["word", "ends"],
+    "late": ["unread"],
 }
 NATS = {
     "ask": ["expect INFO *", 'raw CONNECT {{"verbose":false,"name":"coll"}}\\r\\nPING\\r\\n'],
     "ask-once": ["expect INFO *", 'send CONNECT {{"verbose":false,"user":"once"}}', "send PING"],
     "hello": ['send INFO {{"server_id":"x","max_payload":1048576}}'],
-    "taken": ["hello", "expect CONNECT *", "expect PING"], "up": ["send PONG", "expect PING", "send PONG"],
-    "full": ["send -ERR 'maximum connections exceeded'"], "error": ["send -ERR 'Authorization Violation'"],
-    "served": ["expect PONG"], "refused": ["expect -ERR 'maximum connections exceeded*", "ends"],
-    "failed": ["expect -ERR 'Stale Connection'", "ends"], "moved": ['expect INFO *"ldm":true*', "ends"],
+    "taken": ["hello", "expect CONNECT *", "expect PING"],
+    "up": ["send PONG", "expect PING", "send PONG"],
+    "full": ["send -ERR 'maximum connections exceeded'"],
+    "error": ["send -ERR 'Authorization Violation'"],
+    "served": ["expect PONG"],
+    "refused": ["expect -ERR 'maximum connections exceeded*", "ends"],
+    "failed": ["expect -ERR 'Stale Connection'", "ends"],
+    "moved": ['expect INFO *"ldm":true*', "ends"],
     "says": ["raw MSG a.b 1 10\\r\\n12\\r\\n345678\\r\\n"],
-    "hears": ["expectraw MSG a.b 1 10\\r\\n12\\r\\n345678\\r\\n"], "bye": [],
-    "greeted": ["expect INFO *"], "word": ["expect -ERR *"], "unread": ["word", "ends"],
+    "hears": ["expectraw MSG a.b 1 10\\r\\n12\\r\\n345678\\r\\n"],
+    "bye": [],
+    "greeted": ["expect INFO *"],
+    "word": ["expect -ERR *"],
+    "unread": ["word", "ends"],
     "late": ["expect -ERR 'Authentication Timeout'", "ends"],
 }
 WORDS = {"lines": LINES, "nats": NATS}
@@ -94,9 +112,16 @@
 
     made: ClassVar[list[Stage]] = []  # those that are still to be stopped (conftest.py)
 
-    def __init__(self, wire: str = "lines", hosts: int = 1, discovery: socket.socket | None = None,
-                 check: str | None = None, sockets: int = 1024, tls: dict[str, Any] | None = None,
-                 **limits: Any) -> None:
+    def __init__(
+        self,
+        wire: str = "lines",
+        hosts: int = 1,
+        discovery: socket.socket | None = None,
+        check: str | None = None,
+        sockets: int = 1024,
+        tls: dict[str, Any] | None = None,
+        **limits: Any,
+    ) -> None:
         self.wire, _, self.tls = wire.partition("+")
         self.servers: dict[str, ssl.SSLContext] = {}  # a host's own, in place of the common authority's
         self.listening = {f"b{n}": socket.create_server(("127.0.0.1", 0)) for n in range(hosts)}
@@ -105,16 +130,27 @@
         self.numbers: dict[str, int] = {}
         aims = limits.pop("message_aim_us", [60_000.0, 60_000.0])
         values: dict[str, Any] = {
-            "name": "n1", "seed": "1f", "limits": {"sockets": sockets},
+            "name": "n1",
+            "seed": "1f",
+            "limits": {"sockets": sockets},
             "known": {"seq": 1, "hosts": [self.entry(name) for name in self.listening]},
             "settings": {
                 "classes": [{"name": "feed", **CLASS}, {"name": "once", "effect": "unsafe", **CLASS}],
-                "membership_mode": "on_request", "domain": {"message_aim_us": aims},
+                "membership_mode": "on_request",
+                "domain": {"message_aim_us": aims},
                 "report": {"how": "probe", "names": ["x0"]},
-                "rules": {"cold_from": 0.13, "cold_us": 21_000_000, "fall_multiple": 4.0,
-                          "fall_us": 3_000_000},
-                "limits": {"probes": False, "may_cancel": True, "try_limit": 1, "retry_after": True,
-                           "max_retry_after_us": 1_000_000, "connect_timeout_us": 250_000} | limits}}
+                "rules": {"cold_from": 0.13, "cold_us": 21_000_000, "fall_multiple": 4.0, "fall_us": 3_000_000},
+                "limits": {
+                    "probes": False,
+                    "may_cancel": True,
+                    "try_limit": 1,
+                    "retry_after": True,
+                    "max_retry_after_us": 1_000_000,
+                    "connect_timeout_us": 250_000,
+                }
+                | limits,
+            },
+        }
         checks = {}
         if check is not None:  # 'agent' or 'http': b0's, played by the actor a0
             self.listening["a0"] = socket.create_server(("127.0.0.1", 0))
@@ -128,8 +164,9 @@
             self.values["tls"] = {"ca": str(authority.shared().file)} | (tls or {})
         self.counters = Counters()
         made = self.read()
-        self.front: Front = (NatsFront(made, self.counters) if isinstance(made, config.NatsConfig)
-                             else LineFront(made, self.counters))
+        self.front: Front = (
+            NatsFront(made, self.counters) if isinstance(made, config.NatsConfig) else LineFront(made, self.counters)
+        )
         Stage.made.append(self)
         self.front.start()
 
@@ -139,8 +176,7 @@
         else:  # what a front has of its own stands in its table
             own = {k: self.values[k] for k in ("listen", "checks", "known", "discovery", "tls") if k in self.values}
             rest = {k: v for k, v in self.values.items() if k not in own}
-            made = config.read(rest | {"nats": own | {
-                "max_payload": 100, "users": {"once": {"class": "once"}}}}).nats
+            made = config.read(rest | {"nats": own | {"max_payload": 100, "users": {"once": {"class": "once"}}}}).nats
         assert made is not None
         return made
 
@@ -150,8 +186,7 @@
         self.front.reconfigure(self.read())
 
     def entry(self, name: str) -> dict[str, Any]:
-        return {"host": name, "dial": "{}:{}".format(*self.listening[name].getsockname()),
-                "health": "in_service"}
+        return {"host": name, "dial": "{}:{}".format(*self.listening[name].getsockname()), "health": "in_service"}
 
     def play(self, script: str) -> None:
         for number, line in enumerate(script.strip().splitlines(), 1):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,9 +12,22 @@
 from vanegw import adapter, wire
 
 SETUP = {
-    "balancers": 1, "zone": "a", "membership_mode": "pushed", "weights": "none", "unheard_of": {"x": 1},
-    "classes": [{"name": "c", "objective_us": 800000, "deadline_us": 3200000, "effect": "safe",
-                 "dedup_scope": "all", "memory_span_us": 0, "worth": 1.0}],
+    "balancers": 1,
+    "zone": "a",
+    "membership_mode": "pushed",
+    "weights": "none",
+    "unheard_of": {"x": 1},
+    "classes": [
+        {
+            "name": "c",
+            "objective_us": 800000,
+            "deadline_us": 3200000,
+            "effect": "safe",
+            "dedup_scope": "all",
+            "memory_span_us": 0,
+            "worth": 1.0,
+        }
+    ],
     "limits": {"probes": True, "may_cancel": True, "try_limit": 3, "max_retry_after_us": 1000},
     "report": {"how": "probe", "names": ["novel", "x0"]},
     "rules": {"cold_from": 0.3, "cold_us": 8000000, "fall_multiple": 2.5, "fall_us": 3000000},
@@ -48,10 +61,18 @@
 def test_tables_are_found_by_the_order_of_events() -> None:
     other = [*ROW]
     other[3] = "s2"
-    lines = [["TURN", 5], ["BEGIN", 1, 7, SETUP], ["TABLE", 0, [ROW]], ["PEERS_KNOWN", 1, "restored", 1, 0],
-             ["BEGIN", 2, 7, SETUP], ["TABLE", 0, [other]], ["PEERS_KNOWN", 2, "restored", 1, 0],
-             ["INBOUND", 1, "p", "c", None, None, 3200000], ["INBOUND", 2, "q", "c", None, None, 3200000],
-             ["GO"]]
+    lines = [
+        ["TURN", 5],
+        ["BEGIN", 1, 7, SETUP],
+        ["TABLE", 0, [ROW]],
+        ["PEERS_KNOWN", 1, "restored", 1, 0],
+        ["BEGIN", 2, 7, SETUP],
+        ["TABLE", 0, [other]],
+        ["PEERS_KNOWN", 2, "restored", 1, 0],
+        ["INBOUND", 1, "p", "c", None, None, 3200000],
+        ["INBOUND", 2, "q", "c", None, None, 3200000],
+        ["GO"],
+    ]
     assert [r[1:] for r in play(*lines) if r[0] == "PING"] == [[1, "s1"], [2, "s2"]]
 
 
@@ -68,27 +89,36 @@
     assert ["DIE", 3, "INBOUND: IndexError: out of range"] in play(*START, ["TURN", 10], ASK, ["GO"])
 
 
-@pytest.mark.parametrize(("line", "reason"), [
-    ("{", "not JSON"),
-    (["NEWS", 3], "unknown message 'NEWS'"),
-    (["INBOUND", 3, "r"], "profile is absent"),
-    (["INBOUND", 3, "r", "c", None, None, "soon"], "remaining_us: 'soon' is not an integer"),
-    (["WAKEUP", 3, "t", 1], "3 values, at most 2"),
-    (["WAKEUP", 9, "t"], "unknown instance 9"),
-    (["PEERS_KNOWN", 3, "update", 2, 5], "no TABLE 5"),
-    (["TURN", 7], "GO is missing"),
-])
+@pytest.mark.parametrize(
+    ("line", "reason"),
+    [
+        ("{", "not JSON"),
+        (["NEWS", 3], "unknown message 'NEWS'"),
+        (["INBOUND", 3, "r"], "profile is absent"),
+        (["INBOUND", 3, "r", "c", None, None, "soon"], "remaining_us: 'soon' is not an integer"),
+        (["WAKEUP", 3, "t", 1], "3 values, at most 2"),
+        (["WAKEUP", 9, "t"], "unknown instance 9"),
+        (["PEERS_KNOWN", 3, "update", 2, 5], "no TABLE 5"),
+        (["TURN", 7], "GO is missing"),
+    ],
+)
 def test_bad_lines_are_named(line: object, reason: str) -> None:
     with pytest.raises(wire.WireError, match=f"^line 7: .*{reason}"):
         play(*START, ["TURN", 6], line, ["GO"])
 
 
 def test_the_program_says_what_is_wrong_and_keeps_standard_output_clean() -> None:
-    run = subprocess.run([sys.executable, "-m", "vanegw.adapter"], input='["TURN",1]\nnonsense\n', text=True,
-                         capture_output=True, timeout=60)
+    run = subprocess.run(
+        [sys.executable, "-m", "vanegw.adapter"],
+        input='["TURN",1]\nnonsense\n',
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
     assert run.returncode != 0 and run.stdout == "" and "line 2: not JSON" in run.stderr
-    cut = subprocess.run([sys.executable, "-m", "vanegw.adapter"], input='["TURN",1]\n', text=True,
-                         capture_output=True, timeout=60)
+    cut = subprocess.run(
+        [sys.executable, "-m", "vanegw.adapter"], input='["TURN",1]\n', text=True, capture_output=True, timeout=60
+    )
     assert cut.returncode != 0 and "GO is missing" in cut.stderr
 
 
@@ -104,6 +134,10 @@
     lines += [["INBOUND", 3, f"r{n}", "c", None, None, 3200000] for n in range(20)]
     text = "".join(json.dumps(line) + "\n" for line in [*lines, ["GO"]])
     command = [sys.executable, "-m", "vanegw.adapter"]
-    replies = [subprocess.run(command, input=text, text=True, timeout=60, capture_output=True,
-                              env=os.environ | {"PYTHONHASHSEED": seed}).stdout for seed in ("0", "1", "77")]
+    replies = [
+        subprocess.run(
+            command, input=text, text=True, timeout=60, capture_output=True, env=os.environ | {"PYTHONHASHSEED": seed}
+        ).stdout
+        for seed in ("0", "1", "77")
+    ]
     assert replies[0] == replies[1] == replies[2] and "PING" in replies[0]
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -21,35 +21,65 @@
 STANDS = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
 
 
-@pytest.mark.parametrize(("line", "opinion"), [
-    ("up ready 75%", Opinion(True, 0.75)), ("drain", Opinion(False)), ("0%", Opinion(False)),
-    ("ready,down", Opinion(False)), ("down ready", Opinion(False)), ("maxconn:30 150%", Opinion(None, 1.0)),
-    ("up # drain", Opinion(True)), ("", Opinion()), ("\u00b2% what", Opinion()),
-])
+@pytest.mark.parametrize(
+    ("line", "opinion"),
+    [
+        ("up ready 75%", Opinion(True, 0.75)),
+        ("drain", Opinion(False)),
+        ("0%", Opinion(False)),
+        ("ready,down", Opinion(False)),
+        ("down ready", Opinion(False)),
+        ("maxconn:30 150%", Opinion(None, 1.0)),
+        ("up # drain", Opinion(True)),
+        ("", Opinion()),
+        ("\u00b2% what", Opinion()),
+    ],
+)
 def test_the_words_of_an_agent(line: str, opinion: Opinion) -> None:
     assert parse_agent(line) == opinion
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
-@pytest.mark.parametrize(("check", "script"), [
-    # A host that says drain loses its clients and gets nothing new; after up it is used again.
-    ("agent", STANDS + SAYS.format("drain") + "c1 moved\nc2 ask\nc2 refused\nb0 idle\n"
-     + SAYS.format("up 50%") + "wait checks_changed_a_host 2\nc3 ask\nb0 accept\nb0 taken\nb0 up\nc3 served"),
-    # Three failed checks in a row are a host that is down; two sound ones bring it back.
-    ("agent", "a0 stop\nwait checks_failed 3\nwait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle"),
-    ("http", HTTP.format("503 Unwell") + "wait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle\n"
-     + HTTP.format("200 OK") + "wait checks_changed_a_host 2\nc2 ask\nb0 taken\nb0 up\nc2 served"),
-    ("http", SAYS.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
-])
+@pytest.mark.parametrize(
+    ("check", "script"),
+    [
+        # A host that says drain loses its clients and gets nothing new; after up it is used again.
+        (
+            "agent",
+            STANDS
+            + SAYS.format("drain")
+            + "c1 moved\nc2 ask\nc2 refused\nb0 idle\n"
+            + SAYS.format("up 50%")
+            + "wait checks_changed_a_host 2\nc3 ask\nb0 accept\nb0 taken\nb0 up\nc3 served",
+        ),
+        # Three failed checks in a row are a host that is down; two sound ones bring it back.
+        ("agent", "a0 stop\nwait checks_failed 3\nwait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle"),
+        (
+            "http",
+            HTTP.format("503 Unwell")
+            + "wait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle\n"
+            + HTTP.format("200 OK")
+            + "wait checks_changed_a_host 2\nc2 ask\nb0 taken\nb0 up\nc2 served",
+        ),
+        ("http", SAYS.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
+    ],
+)
 def test_what_a_host_says_counts(wire: str, check: str, script: str) -> None:
     Stage(wire, check=check).play(script)
 
 
 def test_what_is_said_of_the_balancer() -> None:
     listed = [{"host": n, "dial": "127.0.0.1:1", "health": "in_service"} for n in ("a", "b")]
-    daemon = Daemon(config.read({
-        "listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"hosts": listed},
-        "health": {"agent": "127.0.0.1:0", "http": "127.0.0.1:0", "path": "/live"}}))
+    daemon = Daemon(
+        config.read(
+            {
+                "listen": "127.0.0.1:0",
+                "settings": SETTINGS,
+                "known": {"hosts": listed},
+                "health": {"agent": "127.0.0.1:0", "http": "127.0.0.1:0", "path": "/live"},
+            }
+        )
+    )
     daemon.start()
 
     def said(name: str, request: str = "") -> str:
@@ -74,9 +104,14 @@
     assert (said("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
 
 
-@pytest.mark.parametrize(("say", "kept"), [
-    (lambda cluster: cluster.drains("a"), State.RUNNING), (lambda cluster: cluster.opine("a", False), State.DRAINING),
-    (lambda cluster: cluster.close("a", True), State.CLOSED)])
+@pytest.mark.parametrize(
+    ("say", "kept"),
+    [
+        (lambda cluster: cluster.drains("a"), State.RUNNING),
+        (lambda cluster: cluster.opine("a", False), State.DRAINING),
+        (lambda cluster: cluster.close("a", True), State.CLOSED),
+    ],
+)
 def test_a_host_in_service_again_keeps_what_others_said_of_it(say: Callable[[Cluster], object], kept: State) -> None:
     # A check says once that a host is down, and a certificate is refused once: were these dropped with the host's own
     # word when discovery lists it again, the down or the unproven host would get new work.
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -96,8 +96,9 @@
     half = set(names[:12])
     sim.network.cuts["split"] = lambda a, b: (a in half) != (b in half)
     sim.run(8 * S)
-    assert all({f.name for f in p.members.living()} == (half if p.name in half else set(names) - half)
-               for p in sim.living())
+    assert all(
+        {f.name for f in p.members.living()} == (half if p.name in half else set(names) - half) for p in sim.living()
+    )
     sim.network.cuts.clear()
     assert sim.until(sim.agreed, 20 * S) < 5 * S
 
@@ -232,8 +233,9 @@
 
 
 @pytest.mark.parametrize("bug", [never_contradicts, believes_one_word, takes_old_news, forgets_the_lost])
-def test_a_bug_put_in_on_purpose_is_found(bug: Callable[[pytest.MonkeyPatch], None],
-                                          monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_bug_put_in_on_purpose_is_found(
+    bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
     bug(monkeypatch)
     with pytest.raises(BrokenError):
         for seed in range(100):
@@ -411,9 +413,19 @@
         return
 
 
-@pytest.mark.parametrize("fact", [
-    Fact("", "h", 1, 1), Fact("n" * 65, "h", 1, 1), Fact("n", "h", 0, 1), Fact("n", "h", 1, -1), Fact("n", "", 1, 1),
-    Fact("n", "h", 1, 1, state=4), Fact("n", "h", 1, 1, turn=-1), Fact("n", "h", 1, 1, hall="x" * 65)])
+@pytest.mark.parametrize(
+    "fact",
+    [
+        Fact("", "h", 1, 1),
+        Fact("n" * 65, "h", 1, 1),
+        Fact("n", "h", 0, 1),
+        Fact("n", "h", 1, -1),
+        Fact("n", "", 1, 1),
+        Fact("n", "h", 1, 1, state=4),
+        Fact("n", "h", 1, 1, turn=-1),
+        Fact("n", "h", 1, 1, hall="x" * 65),
+    ],
+)
 def test_a_fact_out_of_bounds_is_refused(fact: Fact) -> None:
     with pytest.raises(MessageError):
         decoded(encoded(Message("g", fact)))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -124,8 +124,15 @@
         namesake.start()
         at = "{}:{}".format(*stage.address("b005", 64, GOSSIPED))
         stage.wait(lambda: stage.fleet("b004").get("muted_by") == at, 10 * S)
-        stage.wait(lambda: all(row["at"] == at for name in stage.names[:4] for row in stage.fleet(name)["members"]
-                               if row["name"] == "b004"), 10 * S)
+        stage.wait(
+            lambda: all(
+                row["at"] == at
+                for name in stage.names[:4]
+                for row in stage.fleet(name)["members"]
+                if row["name"] == "b004"
+            ),
+            10 * S,
+        )
         namesake.kill()
         stage.agree(stage.names[:5])
 
@@ -154,8 +161,10 @@
             since = stage.record.now()
             for name in stage.names[:3]:
                 stage.programs[name].signal(signal.SIGHUP)
-            stage.wait(lambda since=since: len(stage.record.of("said", since, event="reload")) == 3,  # type: ignore[misc]
-                       5 * S)
+            stage.wait(
+                lambda since=since: len(stage.record.of("said", since, event="reload")) == 3,  # type: ignore[misc]
+                5 * S,
+            )
         stranger = tmp_path / "other.key"
         stranger.write_text(old)
         stage.programs["b003"].config["fleet"]["key_file"] = str(stranger)
@@ -170,8 +179,13 @@
     at = "{}:{}".format(*stage.address("b002", 0, MANAGED))
 
     def shown(*more: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "bramblestile", "fleet", "--at", at, "show", *more],
-                              capture_output=True, text=True, timeout=20, check=False)
+        return subprocess.run(
+            [sys.executable, "-m", "bramblestile", "fleet", "--at", at, "show", *more],
+            capture_output=True,
+            text=True,
+            timeout=20,
+            check=False,
+        )
 
     got = shown()
     assert got.returncode == 0 and all(name in got.stdout for name in stage.names) and "7 alive" in got.stdout
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,14 +21,28 @@
 STEP = SCRIPT + '[[step]]\ndo = "kill"\n'
 
 
-@pytest.mark.parametrize(("text", "names"), [
-    ("x", "not TOML"), ("", "name"), (SCRIPT + "colour = 1", "colour: no such key"), (SCRIPT + "fleet = 1", "fleet"),
-    (SCRIPT + "within_s = true", "within_s"), (SCRIPT + "[fleet]\nbalancers = 1000", "fleet.balancers"),
-    (SCRIPT + "[fleet]\nvoters = 2", "fleet.voters"), (SCRIPT + "[fleet]\nstreams = 1", "fleet.streams"),
-    (SCRIPT + "[servers]\nslots = 0", "servers.slots"), (SCRIPT + "[plan]\nmost_out = 1", "plan"),
-    (SCRIPT + "[must]\nluck = 1", "must.luck"), (STEP, "step 1.at_s"), (STEP + "at_s = 1\nwhen = 'out'", "step 1.at_s"),
-    (STEP + "when = 'away'", "step 1.when"), (STEP.replace("kill", "hurt") + "at_s = 1", "step 1.do"),
-    (STEP + "at_s = 1\nwho = 'b001'", "step 1.who"), (STEP + "at_s = 1\nfor_s = 0", "step 1.for_s")])
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        ("x", "not TOML"),
+        ("", "name"),
+        (SCRIPT + "colour = 1", "colour: no such key"),
+        (SCRIPT + "fleet = 1", "fleet"),
+        (SCRIPT + "within_s = true", "within_s"),
+        (SCRIPT + "[fleet]\nbalancers = 1000", "fleet.balancers"),
+        (SCRIPT + "[fleet]\nvoters = 2", "fleet.voters"),
+        (SCRIPT + "[fleet]\nstreams = 1", "fleet.streams"),
+        (SCRIPT + "[servers]\nslots = 0", "servers.slots"),
+        (SCRIPT + "[plan]\nmost_out = 1", "plan"),
+        (SCRIPT + "[must]\nluck = 1", "must.luck"),
+        (STEP, "step 1.at_s"),
+        (STEP + "at_s = 1\nwhen = 'out'", "step 1.at_s"),
+        (STEP + "when = 'away'", "step 1.when"),
+        (STEP.replace("kill", "hurt") + "at_s = 1", "step 1.do"),
+        (STEP + "at_s = 1\nwho = 'b001'", "step 1.who"),
+        (STEP + "at_s = 1\nfor_s = 0", "step 1.for_s"),
+    ],
+)
 def test_a_script_that_makes_no_sense_is_refused_by_its_key(text: str, names: str) -> None:
     with pytest.raises(ScriptError, match=names):
         parse(text)
@@ -71,7 +85,7 @@
 
 def test_a_play_and_its_verdict(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "play.toml"
-    text = '''name = "one is killed"
+    text = """name = "one is killed"
 lasts_s = 3
 fleet = { balancers = 3 }
 servers = { count = 2 }
@@ -83,7 +97,7 @@
 for_s = 1
 [must]
 failed = 0
-'''
+"""
     file.write_text(text + "told_dead = 0\n")
     folder = tmp_path / "run"
     assert cli.main(["lab", "run", str(file), "--folder", str(folder), "--page"]) == 0
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -18,8 +18,10 @@
 from bramblestile.operations.kept import NotKeptError, Orders
 from bramblestile.operations.server import Server
 
-PUT = (b"PUT /v1/image-servers/s-1%2F2/suspend HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc"
-       b"GET /v1/readyz HTTP/1.1\r\n\r\n")
+PUT = (
+    b"PUT /v1/image-servers/s-1%2F2/suspend HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc"
+    b"GET /v1/readyz HTTP/1.1\r\n\r\n"
+)
 
 
 @given(st.lists(st.integers(0, len(PUT)), max_size=12))
@@ -31,16 +33,27 @@
     assert got == http.Call("PUT", ("v1", "image-servers", "s-1/2", "suspend"), b"abc")
 
 
-@pytest.mark.parametrize(("said", "status"), [
-    (b"OPEN 1 2 c=feed\r\n\r\n", 400), (b"GET /\r\n\r\n", 400), (b"GET / HTTP/2\r\n\r\n", 505),
-    (b"G(T / HTTP/1.1\r\n\r\n", 400),
-    (b"GET x HTTP/1.1\r\n\r\n", 400), (b"GET /%zz HTTP/1.1\r\n\r\n", 400), (b"GET /%ff HTTP/1.1\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nno field\r\n\r\n", 400), (b"PUT / HTTP/1.1\r\nContent-Length: 2, 3\r\n\r\n", 400),
-    (b"PUT / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", 400),
-    (b"PUT / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413), (b"GET /" + b"x" * 5000, 431),
-    (b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 501), (b"PUT / HTTP/1.1\r\nExpect: luck\r\n\r\n", 417),
-    (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 100 + b"\r\n", 431), (b"\x16\x03\x01\n\n", 400),
-])
+@pytest.mark.parametrize(
+    ("said", "status"),
+    [
+        (b"OPEN 1 2 c=feed\r\n\r\n", 400),
+        (b"GET /\r\n\r\n", 400),
+        (b"GET / HTTP/2\r\n\r\n", 505),
+        (b"G(T / HTTP/1.1\r\n\r\n", 400),
+        (b"GET x HTTP/1.1\r\n\r\n", 400),
+        (b"GET /%zz HTTP/1.1\r\n\r\n", 400),
+        (b"GET /%ff HTTP/1.1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nno field\r\n\r\n", 400),
+        (b"PUT / HTTP/1.1\r\nContent-Length: 2, 3\r\n\r\n", 400),
+        (b"PUT / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", 400),
+        (b"PUT / HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413),
+        (b"GET /" + b"x" * 5000, 431),
+        (b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 501),
+        (b"PUT / HTTP/1.1\r\nExpect: luck\r\n\r\n", 417),
+        (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 100 + b"\r\n", 431),
+        (b"\x16\x03\x01\n\n", 400),
+    ],
+)
 def test_what_is_no_call_is_told_so(said: bytes, status: int) -> None:
     with pytest.raises(http.FaultError) as caught:
         http.Parser().feed(said)
@@ -118,7 +131,8 @@
 
 
 def test_whole_calls_are_answered_beside_as_many_unfinished_ones_as_there_may_be(
-        served: tuple[Server, Balancer, Counters]) -> None:
+    served: tuple[Server, Balancer, Counters],
+) -> None:
     """Guards against callers that hold a connection without a whole call: the oldest of them give way."""
     made, balancer, counters = served
     balancer.why = None
@@ -138,7 +152,8 @@
 
 
 def test_a_call_that_does_not_come_to_its_end_is_told_so_in_time(
-        served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch) -> None:
+    served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(server, "WHOLE", server.TICK)
     assert status(call(served[0], b"PUT /v1/balancer/drain HTTP/1.1\r\nContent-Length: 5\r\n\r\n12")) == 408
 
@@ -148,7 +163,8 @@
 
 
 def test_hosts_go_out_once_and_come_back_once_and_strangers_are_refused(
-        served: tuple[Server, Balancer, Counters]) -> None:
+    served: tuple[Server, Balancer, Counters],
+) -> None:
     made, balancer, _ = served
     for _ in range(2):
         assert status(call(made, put("image-servers/s%2F1/suspend"))) == 200
@@ -161,7 +177,8 @@
 
 
 def test_the_yes_waits_until_nothing_is_being_sent_there_and_holds_nobody_up(
-        served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch) -> None:
+    served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Guards against a request between its choice and its first byte: it would reach a host that is out."""
     made, balancer, _ = served
     balancer.quiet = False
@@ -185,7 +202,8 @@
 
 
 def test_the_command_line_makes_the_same_calls(
-        served: tuple[Server, Balancer, Counters], capsys: pytest.CaptureFixture[str]) -> None:
+    served: tuple[Server, Balancer, Counters], capsys: pytest.CaptureFixture[str]
+) -> None:
     made, balancer, _ = served
     at = "{}:{}".format(*made.address)
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -14,9 +14,18 @@
 COLD_US = 21_000_000
 SOLD = 2_000.0  # connections that the tenants' shares pay for, over all balancers
 SETTINGS = api.Settings(
-    classes=(replace(CLASS, objective_us=300_000, deadline_us=1_800_000),), zone="z0", balancers=BALANCERS,
-    tenants=(api.Tenant("t", 1.0, SOLD),), cold_from=0.13, cold_us=COLD_US, fall_multiple=4.0, fall_us=3_000_000,
-    drain_grace_us=1_000_000, try_limit=6, max_retry_after_us=1_000_000)
+    classes=(replace(CLASS, objective_us=300_000, deadline_us=1_800_000),),
+    zone="z0",
+    balancers=BALANCERS,
+    tenants=(api.Tenant("t", 1.0, SOLD),),
+    cold_from=0.13,
+    cold_us=COLD_US,
+    fall_multiple=4.0,
+    fall_us=3_000_000,
+    drain_grace_us=1_000_000,
+    try_limit=6,
+    max_retry_after_us=1_000_000,
+)
 HOSTS = 40
 
 
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -12,9 +12,11 @@
 UP = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
 
 
-@pytest.mark.parametrize("script", [
-    # Split and joined reads, and a verbose client, whose CONNECT is answered +OK once.
-    r"""c1 expect INFO *
+@pytest.mark.parametrize(
+    "script",
+    [
+        # Split and joined reads, and a verbose client, whose CONNECT is answered +OK once.
+        r"""c1 expect INFO *
         c1 raw CONN
         c1 raw ECT {"verbose":true}\r\nPING\r\nSUB a.b 1\r\nPUB a.b 4\r\n\r\nPI\r\n
         b0 raw INFO {}\r
@@ -26,27 +28,28 @@
         c1 expect +OK
         b0 raw PONG\r\n+OK\r\n+OK\r\n
         c1 expectraw PONG\r\n+OK\r\n+OK\r\n""",
-    # A health check before CONNECT is answered by the front itself.
-    "c1 expect INFO *\nc1 send PING\nc1 expect PONG\nb0 idle",
-    # The host may measure its way while it takes the CONNECT.
-    "c1 ask\nb0 taken\nb0 send PING\nb0 expect PONG\nb0 up\nc1 served",
-    # Bad input: a standard error, a counter, no upstream request.
-    "c1 expect INFO *\nc1 send GET / HTTP/1.1\nc1 expect -ERR 'Unknown Protocol Operation'\nc1 ends\nb0 idle",
-    "c1 expect INFO *\nc1 send CONNECT {half\nc1 expect -ERR 'Parser Error'\nwait bad_first_lines 1",
-    "c1 expect INFO *\nc1 send CONNECT []\nc1 expect -ERR 'Parser Error'",
-    "c1 expect INFO *\nc1 send CONNECT " + "x" * 5000 + "\nc1 expect -ERR 'Maximum Control Line Exceeded'",
-    UP + "c1 send PUB a 101\nc1 expect -ERR 'Maximum Payload Violation'\nc1 ends\nb0 ends",
-    UP + "c1 send PUB a many\nc1 expect -ERR 'Parser Error'\nc1 ends",
-    UP + "c1 raw " + "x" * 5000 + "\nc1 expect -ERR 'Maximum Control Line Exceeded'\nc1 ends",
-    # A host that drains by its own word: before CONNECT nothing ran; once it stands, all of its clients move.
-    'c1 ask\nb0 send INFO {"ldm":true}\nc1 refused\nwait upstream_no_room 1\nc2 ask\nc2 refused\nb0 idle',
-    UP + "c1 send SUB a 1\nb0 expect SUB a 1\n"
-    'b0 send INFO {"ldm":true}\nc1 expect INFO {"ldm":true}\nc1 moved\nb0 ends\nc2 ask\nc2 refused\nb0 idle',
-    # No INFO, or the end before CONNECT went out: it never ran. Errors by meaning.
-    "c1 ask-once\nb0 accept\nb0 close\nc1 refused\nwait upstream_no_route 1",
-    "c1 ask-once\nb0 send -ERR 'maximum connections exceeded'\nc1 refused\nwait upstream_no_room 1",
-    "c1 ask-once\nb0 taken\nb0 send -ERR 'Authorization Violation'\nc1 failed\nwait upstream_error 1",
-])
+        # A health check before CONNECT is answered by the front itself.
+        "c1 expect INFO *\nc1 send PING\nc1 expect PONG\nb0 idle",
+        # The host may measure its way while it takes the CONNECT.
+        "c1 ask\nb0 taken\nb0 send PING\nb0 expect PONG\nb0 up\nc1 served",
+        # Bad input: a standard error, a counter, no upstream request.
+        "c1 expect INFO *\nc1 send GET / HTTP/1.1\nc1 expect -ERR 'Unknown Protocol Operation'\nc1 ends\nb0 idle",
+        "c1 expect INFO *\nc1 send CONNECT {half\nc1 expect -ERR 'Parser Error'\nwait bad_first_lines 1",
+        "c1 expect INFO *\nc1 send CONNECT []\nc1 expect -ERR 'Parser Error'",
+        "c1 expect INFO *\nc1 send CONNECT " + "x" * 5000 + "\nc1 expect -ERR 'Maximum Control Line Exceeded'",
+        UP + "c1 send PUB a 101\nc1 expect -ERR 'Maximum Payload Violation'\nc1 ends\nb0 ends",
+        UP + "c1 send PUB a many\nc1 expect -ERR 'Parser Error'\nc1 ends",
+        UP + "c1 raw " + "x" * 5000 + "\nc1 expect -ERR 'Maximum Control Line Exceeded'\nc1 ends",
+        # A host that drains by its own word: before CONNECT nothing ran; once it stands, all of its clients move.
+        'c1 ask\nb0 send INFO {"ldm":true}\nc1 refused\nwait upstream_no_room 1\nc2 ask\nc2 refused\nb0 idle',
+        UP + "c1 send SUB a 1\nb0 expect SUB a 1\n"
+        'b0 send INFO {"ldm":true}\nc1 expect INFO {"ldm":true}\nc1 moved\nb0 ends\nc2 ask\nc2 refused\nb0 idle',
+        # No INFO, or the end before CONNECT went out: it never ran. Errors by meaning.
+        "c1 ask-once\nb0 accept\nb0 close\nc1 refused\nwait upstream_no_route 1",
+        "c1 ask-once\nb0 send -ERR 'maximum connections exceeded'\nc1 refused\nwait upstream_no_room 1",
+        "c1 ask-once\nb0 taken\nb0 send -ERR 'Authorization Violation'\nc1 failed\nwait upstream_error 1",
+    ],
+)
 def test_nats(script: str) -> None:
     Stage("nats").play(script)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -34,9 +34,14 @@
     cluster = Cluster()
     cluster.apply(ListMode.COMPLETE, [A, B])
     assert cluster.obey({"a"}, {}) == ["a"]
-    for mode, listed in ((ListMode.COMPLETE, A), (ListMode.CHANGES, replace(A, state=State.DRAINING)),
-                         (ListMode.CHANGES, A), (ListMode.CHANGES, replace(A, born=5 * S)),
-                         (ListMode.CHANGES, replace(A, state=State.GONE)), (ListMode.COMPLETE, replace(A, born=9 * S))):
+    for mode, listed in (
+        (ListMode.COMPLETE, A),
+        (ListMode.CHANGES, replace(A, state=State.DRAINING)),
+        (ListMode.CHANGES, A),
+        (ListMode.CHANGES, replace(A, born=5 * S)),
+        (ListMode.CHANGES, replace(A, state=State.GONE)),
+        (ListMode.COMPLETE, replace(A, born=9 * S)),
+    ):
         cluster.apply(mode, [listed, B])
         cluster.opine("a", takes_work=True)
         found = cluster.find("a")
@@ -79,11 +84,22 @@
     assert Kept(memory_path, "n1").orders.suspended == {"c": S}
 
 
-@given(st.binary(max_size=200) | st.sampled_from([
-    b"[]", b"{}", b'{"version":2}', b'{"version":1,"suspended_us":[1],"back_us":{},"drained":false}', b"[" * 100_000,
-    b'{"version":1,"suspended_us":{},"back_us":{"a":-1},"drained":false}', b"\xff",
-    b'{"version":1,"suspended_us":{},"back_us":{"a":1e999},"drained":false}',
-    b'{"version":1,"suspended_us":{},"back_us":{},"drained":0}']))
+@given(
+    st.binary(max_size=200)
+    | st.sampled_from(
+        [
+            b"[]",
+            b"{}",
+            b'{"version":2}',
+            b'{"version":1,"suspended_us":[1],"back_us":{},"drained":false}',
+            b"[" * 100_000,
+            b'{"version":1,"suspended_us":{},"back_us":{"a":-1},"drained":false}',
+            b"\xff",
+            b'{"version":1,"suspended_us":{},"back_us":{"a":1e999},"drained":false}',
+            b'{"version":1,"suspended_us":{},"back_us":{},"drained":0}',
+        ]
+    )
+)
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture])
 def test_a_file_of_something_else_changes_nothing(tmp_path: Path, raw: bytes) -> None:
     (tmp_path / "bramblestile-n1.orders").write_bytes(raw)
@@ -121,8 +137,11 @@
     monkeypatch.setattr(os, "write", lambda *_: 3)  # a full disk takes a part
     with pytest.raises(NotKeptError, match="no room"):
         there.change(lambda orders: orders.suspend("a", S))
-    assert not mine.orders.suspended and not there.orders.suspended and os.listdir(tmp_path) == [
-        "bramblestile-n1.orders.lock"]
+    assert (
+        not mine.orders.suspended
+        and not there.orders.suspended
+        and os.listdir(tmp_path) == ["bramblestile-n1.orders.lock"]
+    )
 
 
 def test_only_so_many_hosts_can_be_out_and_calls_back_are_forgotten() -> None:
@@ -135,7 +154,8 @@
 
 @pytest.mark.parametrize(("listed", "counts"), [(None, 9), (3, 9), (7, 7), (12, 9)])
 def test_called_back_a_host_counts_from_its_restart_if_the_list_tells_that_and_else_from_now(
-        listed: int | None, counts: int) -> None:
+    listed: int | None, counts: int
+) -> None:
     born = None if listed is None else listed * S
     assert Orders({"a": 5 * S}).resume("a", 9 * S, born).back == {"a": counts * S}
 
@@ -203,6 +223,7 @@
 def test_clients_are_sent_away_and_taken_again(tmp_path: Path) -> None:
     """PING hears no at once, what stands is moved within 4 s, and nothing stays moved after the call back."""
     with serving(tmp_path, "a") as (balancer, _):
+
         def ping() -> bytes:
             with socket.create_connection(balancer.clients.getsockname(), timeout=5) as sock:
                 sock.sendall(b"PING\r\n")
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -12,8 +12,9 @@
 
 S = 1_000_000
 FEED = api.RequestClass("feed", objective_us=800_000, deadline_us=3_200_000)
-SETTINGS = api.Settings(classes=(FEED,), may_probe=True,
-                        cold_from=0.13, cold_us=21 * S, fall_multiple=4.0, fall_us=3 * S, try_limit=3)
+SETTINGS = api.Settings(
+    classes=(FEED,), may_probe=True, cold_from=0.13, cold_us=21 * S, fall_multiple=4.0, fall_us=3 * S, try_limit=3
+)
 HOSTS = (api.Backend("a"), api.Backend("b"), api.Backend("c", started_us=40 * S))
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -21,12 +21,15 @@
 
 SETTINGS = {"classes": [{"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000}]}
 GOOD: dict[str, Any] = {
-    "listen": "127.0.0.1:0", "discovery": "127.0.0.1:8500", "settings": SETTINGS,
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:8500",
+    "settings": SETTINGS,
     "known": {"seq": 4, "hosts": [{"host": "a", "dial": "127.0.0.1:1", "health": "in_service"}]},
     "nats": {"listen": "127.0.0.1:0"},
     "trace": {"directory": "traces"},
     "store": {"name": "p1", "directory": ".", "peers": {"p1": "127.0.0.1:4"}},
-    "fleet": {"listen": "127.0.0.1:5", "seeds": ["127.0.0.2:5"]}, "management": "127.0.0.1:6",
+    "fleet": {"listen": "127.0.0.1:5", "seeds": ["127.0.0.2:5"]},
+    "management": "127.0.0.1:6",
     "work": {"voters": ["bramblestile", "b", "c"], "directory": "."},
 }
 
@@ -56,21 +59,54 @@
     assert (got.lines.name, got.lines.listen, got.lines.known_version) == ("n3", ("127.0.0.9", 81), 4)
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("listen", "nowhere"), ("discovery", "1.2.3.4:99999"), ("seed", "xyz"), ("settings", None),
-    ("settings.classes", []), ("known.seq", -1), ("known.seq", 1.5), ("known.hosts", [{"host": "a"}]),
-    ("settings.limits.connect_timeout_us", "soon"), ("spans.probe_us", 0),
-    ("nats.listen", None), ("nats.max_payload", 0), ("nats.users.x", 5), ("nats.default.class", "unheard-of"),
-    ("checks.b", {"agent": "127.0.0.1:1"}), ("checks.a", {}),
-    ("health.path", "no slash"), ("health.agent", 7),
-    ("trace.directory", 5), ("trace.flush_ms", 1), ("trace.buffer", "x"), ("trace.total_mb", 100),
-    ("trace.keep.feed", 2), ("trace.keep.nobody", 0.5), ("log.level", "loud"), ("log.form", "xml"),
-    ("store.directory", "nowhere"), ("store.name", "stranger"), ("store.peers.p9", "10.0.0.1:1"),
-    ("fleet.listen", "10.0.0.1:5"), ("fleet.seeds", "127.0.0.1:5"), ("fleet.seeds[0]", ["nowhere"]),
-    ("fleet.seeds", ["10.0.0.1:5"]), ("fleet.key_file", "no such file"), ("fleet.name", "n" * 65),
-    ("work.voters", ["a", "b"]), ("work.voters", ["a", "a", "b"]), ("work.voters", "a"), ("work.directory", "nowhere"),
-    ("work", {}), ("fleet.probe_ms", 1), ("fleet.suspect_most_ms", 200), ("fleet.advertise", "somewhere"),
-])
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("listen", "nowhere"),
+        ("discovery", "1.2.3.4:99999"),
+        ("seed", "xyz"),
+        ("settings", None),
+        ("settings.classes", []),
+        ("known.seq", -1),
+        ("known.seq", 1.5),
+        ("known.hosts", [{"host": "a"}]),
+        ("settings.limits.connect_timeout_us", "soon"),
+        ("spans.probe_us", 0),
+        ("nats.listen", None),
+        ("nats.max_payload", 0),
+        ("nats.users.x", 5),
+        ("nats.default.class", "unheard-of"),
+        ("checks.b", {"agent": "127.0.0.1:1"}),
+        ("checks.a", {}),
+        ("health.path", "no slash"),
+        ("health.agent", 7),
+        ("trace.directory", 5),
+        ("trace.flush_ms", 1),
+        ("trace.buffer", "x"),
+        ("trace.total_mb", 100),
+        ("trace.keep.feed", 2),
+        ("trace.keep.nobody", 0.5),
+        ("log.level", "loud"),
+        ("log.form", "xml"),
+        ("store.directory", "nowhere"),
+        ("store.name", "stranger"),
+        ("store.peers.p9", "10.0.0.1:1"),
+        ("fleet.listen", "10.0.0.1:5"),
+        ("fleet.seeds", "127.0.0.1:5"),
+        ("fleet.seeds[0]", ["nowhere"]),
+        ("fleet.seeds", ["10.0.0.1:5"]),
+        ("fleet.key_file", "no such file"),
+        ("fleet.name", "n" * 65),
+        ("work.voters", ["a", "b"]),
+        ("work.voters", ["a", "a", "b"]),
+        ("work.voters", "a"),
+        ("work.directory", "nowhere"),
+        ("work", {}),
+        ("fleet.probe_ms", 1),
+        ("fleet.suspect_most_ms", 200),
+        ("fleet.advertise", "somewhere"),
+    ],
+)
 def test_a_message_names_the_faulty_key(path: str, value: object) -> None:
     values = copy.deepcopy(GOOD)
     at: Any = values
@@ -87,13 +123,19 @@
     with socket.create_server(("127.0.0.1", 0)) as host, socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
         free.close()
-        known = {"seq": 1, "hosts": [{"host": "a", "dial": "{}:{}".format(*host.getsockname()),
-                                      "health": "in_service"}]}
+        known = {
+            "seq": 1,
+            "hosts": [{"host": "a", "dial": "{}:{}".format(*host.getsockname()), "health": "in_service"}],
+        }
         path = tmp_path / "config.json"
         listen = "{}:{}".format(*address)
         path.write_text(json.dumps({"listen": listen, "settings": SETTINGS, "known": known}))
-        with subprocess.Popen([sys.executable, "-m", "bramblestile"], stderr=subprocess.PIPE, text=True,
-                              env=os.environ | {"EDGE_CONFIG": str(path)}) as program:
+        with subprocess.Popen(
+            [sys.executable, "-m", "bramblestile"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env=os.environ | {"EDGE_CONFIG": str(path)},
+        ) as program:
             try:
                 peer = connect(address, program)
                 peer.sock.sendall(b"PING\r\n")
@@ -122,8 +164,9 @@
                 program.kill()
 
 
-@pytest.mark.parametrize("key", ["listen", "nats.listen", "health.agent", "store.peers.p1", "management",
-                                 "fleet.listen"])
+@pytest.mark.parametrize(
+    "key", ["listen", "nats.listen", "health.agent", "store.peers.p1", "management", "fleet.listen"]
+)
 def test_an_address_that_is_taken_is_named_by_its_key(key: str, tmp_path: Path) -> None:
     """Seen: a traceback."""
     kind = socket.SOCK_DGRAM if key == "fleet.listen" else socket.SOCK_STREAM
@@ -140,8 +183,14 @@
         at[last] = "{}:{}".format(*taken.getsockname())
         path = tmp_path / "config.json"
         path.write_text(json.dumps(values))
-        got = subprocess.run([sys.executable, "-m", "bramblestile"], capture_output=True, text=True, timeout=20,
-                             env=os.environ | {"EDGE_CONFIG": str(path)}, check=False)
+        got = subprocess.run(
+            [sys.executable, "-m", "bramblestile"],
+            capture_output=True,
+            text=True,
+            timeout=20,
+            env=os.environ | {"EDGE_CONFIG": str(path)},
+            check=False,
+        )
     assert got.returncode == 2
     assert got.stderr.splitlines()[-1] == f"bramblestile: {key}: {at[last]}: Address already in use"
     assert "Traceback" not in got.stderr
@@ -162,12 +211,20 @@
     free.close()
     name = {sock: "{}:{}".format(*sock.getsockname()) for sock in (host, old, new)}
     entry = {"host": "a", "dial": name[host], "health": "in_service"}
-    values = {"listen": "{}:{}".format(*address), "discovery": name[old],
-              "settings": SETTINGS | {"membership_mode": "on_request"}, "known": {"seq": 4, "hosts": [entry]}}
+    values = {
+        "listen": "{}:{}".format(*address),
+        "discovery": name[old],
+        "settings": SETTINGS | {"membership_mode": "on_request"},
+        "known": {"seq": 4, "hosts": [entry]},
+    }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(values))
-    with subprocess.Popen([sys.executable, "-m", "bramblestile"], stderr=subprocess.PIPE, text=True,
-                          env=os.environ | {"EDGE_CONFIG": str(path)}) as program:
+    with subprocess.Popen(
+        [sys.executable, "-m", "bramblestile"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env=os.environ | {"EDGE_CONFIG": str(path)},
+    ) as program:
         try:
             assert program.stderr is not None
             standing = connect(address, program)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -67,8 +67,11 @@
             if isinstance(action, api.Refuse):
                 ran = [s for s in self.sent[action.id] if s.status and s.status.may_have_run]
                 cls = self.cls(action.id)
-                assert not ran or cls.effect is api.Effect.SAFE or (
-                    cls.effect is api.Effect.KEYED and cls.dedup_scope is api.Scope.ALL)
+                assert (
+                    not ran
+                    or cls.effect is api.Effect.SAFE
+                    or (cls.effect is api.Effect.KEYED and cls.dedup_scope is api.Scope.ALL)
+                )
             self.over.add(action.id)
         elif isinstance(action, api.Move):
             assert action.id in self.stands and action.id not in self.over
@@ -208,8 +211,7 @@
 STEPS = ("advance", "change", "arrive", "answer_probe", "fail", "open", "note", "leave")
 
 
-@settings(max_examples=150, deadline=None, derandomize=True, database=None,
-          suppress_health_check=list(HealthCheck))
+@settings(max_examples=150, deadline=None, derandomize=True, database=None, suppress_health_check=list(HealthCheck))
 @given(st.data())
 def test_the_four_rules_hold_whatever_happens(draw: st.DataObject) -> None:
     judge = Judge(draw)
@@ -217,7 +219,8 @@
         judge.change()
     for step in draw.draw(st.lists(st.sampled_from(STEPS), max_size=60)):
         getattr(judge, step)()
-        assert all(judge.now <= judge.deadline[r] for r in judge.requests
-                   if r not in judge.over | judge.stands), "an answer is overdue"
+        assert all(judge.now <= judge.deadline[r] for r in judge.requests if r not in judge.over | judge.stands), (
+            "an answer is overdue"
+        )
     judge.settle_all()
     assert not [r for r in judge.balancer.flights if r in judge.over]  # finished requests are forgotten
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,10 +17,19 @@
 
 ONE = {"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "safe"}
 FILE: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:0", "seed": "1f", "limits": {"sockets": 512, "memory_mb": 80},
+    "name": "n1",
+    "listen": "127.0.0.1:0",
+    "seed": "1f",
+    "limits": {"sockets": 512, "memory_mb": 80},
     "known": {"seq": 1, "whole": True, "hosts": [{"host": "a", "dial": "127.0.0.1:1", "health": "in_service"}]},
-    "settings": {"balancers": 2, "classes": [ONE, {**ONE, "name": "edit"}], "limits": {"try_limit": 6, "probes": True},
-                 "rules": {"cold_from": 0.13, "cold_us": 21_000_000}, "report": {"how": "probe", "names": ["x0"]}}}
+    "settings": {
+        "balancers": 2,
+        "classes": [ONE, {**ONE, "name": "edit"}],
+        "limits": {"try_limit": 6, "probes": True},
+        "rules": {"cold_from": 0.13, "cold_us": 21_000_000},
+        "report": {"how": "probe", "names": ["x0"]},
+    },
+}
 
 
 class Reloaded:
@@ -53,7 +62,7 @@
         changed = copy.deepcopy(FILE)
         changed["settings"]["limits"]["try_limit"] = turn % 5 + 1
         raw = json.dumps(changed).encode()
-        assert not reloaded.take(raw[:random.randrange(len(raw))])
+        assert not reloaded.take(raw[: random.randrange(len(raw))])
     assert reloaded.settings() == before and reloaded.daemon.counters.get("reloads_refused") == 2000
 
 
@@ -78,16 +87,24 @@
     assert lacking > 20 and reloaded.settings() == before
 
 
-@pytest.mark.parametrize(("path", "values"), [
-    ("settings.classes.0.deadline_us", (0, -1, 1.5, "1", None, True, 1e400)),
-    ("settings.classes.0.objective_us", (0, -5, None, [])),
-    ("settings.limits.try_limit", (0, -1, 2.5, "6", None, False)),
-    ("settings.classes", ([], None, {}, [1], [ONE, ONE])), ("settings.classes.0.name", ("", None, 7)),
-    ("settings", (None, [], 3)), ("settings.balancers", (0, "2")), ("settings.rules.cold_from", (0, 2, float("nan"))),
-    ("limits.sockets", (0, "many")), ("known.hosts", ([{}],)),
-])
+@pytest.mark.parametrize(
+    ("path", "values"),
+    [
+        ("settings.classes.0.deadline_us", (0, -1, 1.5, "1", None, True, 1e400)),
+        ("settings.classes.0.objective_us", (0, -5, None, [])),
+        ("settings.limits.try_limit", (0, -1, 2.5, "6", None, False)),
+        ("settings.classes", ([], None, {}, [1], [ONE, ONE])),
+        ("settings.classes.0.name", ("", None, 7)),
+        ("settings", (None, [], 3)),
+        ("settings.balancers", (0, "2")),
+        ("settings.rules.cold_from", (0, 2, float("nan"))),
+        ("limits.sockets", (0, "many")),
+        ("known.hosts", ([{}],)),
+    ],
+)
 def test_a_value_that_makes_no_sense_leaves_the_old_settings_whole(
-        reloaded: Reloaded, path: str, values: tuple[Any, ...]) -> None:
+    reloaded: Reloaded, path: str, values: tuple[Any, ...]
+) -> None:
     before = reloaded.settings()
     for value in values:
         changed: Any = copy.deepcopy(FILE)
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -35,24 +35,40 @@
 
 
 @BOTH
-@pytest.mark.parametrize("script", [
-    "c1 greeted\n" + "c1 send PING\n" * 17 + "c1 expect PONG\n" * 16 + "c1 unread",
-    "c1 greeted\nc1 raw " + "x" * 5000 + "\nc1 unread",
-    # What still comes is read for a moment: closing over it would send RST, which may eat the answer.
-    "c1 greeted\nc1 send frob 1\nc1 word\n" + "c1 raw yyy\n" * 500 + "c1 ends",
-    "c1 greeted\nc1 raw half\nc1 close\n" + SERVED.replace("c1", "c2"),
-])
+@pytest.mark.parametrize(
+    "script",
+    [
+        "c1 greeted\n" + "c1 send PING\n" * 17 + "c1 expect PONG\n" * 16 + "c1 unread",
+        "c1 greeted\nc1 raw " + "x" * 5000 + "\nc1 unread",
+        # What still comes is read for a moment: closing over it would send RST, which may eat the answer.
+        "c1 greeted\nc1 send frob 1\nc1 word\n" + "c1 raw yyy\n" * 500 + "c1 ends",
+        "c1 greeted\nc1 raw half\nc1 close\n" + SERVED.replace("c1", "c2"),
+    ],
+)
 def test_what_is_no_request_gets_an_error_and_reaches_no_host(wire: str, script: str) -> None:
     Stage(wire).play(script + "\nb0 idle")
 
 
-@pytest.mark.parametrize("line", [
-    "OPEN 7 8 c=feeds,d=900", "OPEN 7 8 d=900", "OPEN  8 c=feed,d=900", "OPEN 7 8 c=feed",
-    "OPEN 7 8 c=feed,d=", "OPEN 7 8 c=feed,d=-5", "OPEN 7 8 c=feed,d=0", "OPEN 7 8 c=feed,d=1_0",
-    "OPEN 7 8 c=feed,d=4294967", "OPEN 7 8 c=feed,d=inf", "OPEN 7 8 c=feed,d=900,h=nan",
-    "OPEN 7 8 c=feed,d=900,h=-1", "OPEN 7 8 c=feed,d=900,h=1e999", "OPEN 7 8 c=feed,d=900,g=-5",
-    "OPEN 7 " + "f" * 17 + " c=feed,d=900",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "OPEN 7 8 c=feeds,d=900",
+        "OPEN 7 8 d=900",
+        "OPEN  8 c=feed,d=900",
+        "OPEN 7 8 c=feed",
+        "OPEN 7 8 c=feed,d=",
+        "OPEN 7 8 c=feed,d=-5",
+        "OPEN 7 8 c=feed,d=0",
+        "OPEN 7 8 c=feed,d=1_0",
+        "OPEN 7 8 c=feed,d=4294967",
+        "OPEN 7 8 c=feed,d=inf",
+        "OPEN 7 8 c=feed,d=900,h=nan",
+        "OPEN 7 8 c=feed,d=900,h=-1",
+        "OPEN 7 8 c=feed,d=900,h=1e999",
+        "OPEN 7 8 c=feed,d=900,g=-5",
+        "OPEN 7 " + "f" * 17 + " c=feed,d=900",
+    ],
+)
 def test_a_line_with_a_value_that_makes_no_sense_is_failed(line: str) -> None:
     """Seen: a class that does not exist was served as the first, and d=-5 was sent to a host."""
     Stage().play(f"c1 send {line}\nc1 expect ERR\nc1 ends\nb0 idle")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -95,8 +95,9 @@
 
 
 def keyed(scope: api.Scope) -> api.Settings:
-    return replace(SETTINGS, classes=(replace(CLASS, effect=api.Effect.KEYED, dedup_scope=scope,
-                                              memory_span_us=1_000_000),))
+    return replace(
+        SETTINGS, classes=(replace(CLASS, effect=api.Effect.KEYED, dedup_scope=scope, memory_span_us=1_000_000),)
+    )
 
 
 def test_unsafe_is_never_repeated_once_it_may_have_run() -> None:
@@ -549,8 +550,12 @@
 def test_where_all_well_backends_are_full_one_that_fails_but_answers_is_tried_and_a_mute_one_is_not() -> None:
     """Seen: connections were reset under requests; a host at a load of 0.18 with 20 standing connections was masked for
     3 s by one such, the others were full, and every second request was refused."""
-    for status, tried in ((api.Status.CUT, "b4"), (api.Status.ERROR, "b4"), (api.Status.NO_ROUTE, "b4"),
-                          (api.Status.TIMED_OUT, None)):
+    for status, tried in (
+        (api.Status.CUT, "b4"),
+        (api.Status.ERROR, "b4"),
+        (api.Status.NO_ROUTE, "b4"),
+        (api.Status.TIMED_OUT, None),
+    ):
         relay = Relay(loads={f"b{n}": 0.95 if n < 4 else 0.1 for n in range(5)})
         relay.show(*fleet(5))
         relay.balancer._strike(relay.balancer.backends["b4"], status)
@@ -563,11 +568,18 @@
         assert bool(attempts) == (tried is not None), status
 
 
-@pytest.mark.parametrize(("loads", "fleet_of", "reason"), [
-    ({"b0": 0.95}, {}, "given_up_full"), ({}, {"state": api.State.DRAINING}, "given_up_no_host"),
-    ({"b0": 0.1}, {"started_us": 0}, "given_up_cold"), ({"b0": 0.1}, {}, None)])
+@pytest.mark.parametrize(
+    ("loads", "fleet_of", "reason"),
+    [
+        ({"b0": 0.95}, {}, "given_up_full"),
+        ({}, {"state": api.State.DRAINING}, "given_up_no_host"),
+        ({"b0": 0.1}, {"started_us": 0}, "given_up_cold"),
+        ({"b0": 0.1}, {}, None),
+    ],
+)
 def test_requests_given_up_are_counted_by_their_reason(
-        loads: dict[str, float], fleet_of: dict[str, Any], reason: str | None) -> None:
+    loads: dict[str, float], fleet_of: dict[str, Any], reason: str | None
+) -> None:
     settings = replace(SETTINGS, tenants=(api.Tenant("a", 1.0, 0.1),), cold_us=21_000_000, fall_us=3_000_000)
     relay = Relay(settings, loads=loads)
     relay.balancer = Witness(settings, 1)
@@ -578,8 +590,9 @@
 
 @pytest.mark.parametrize(("started", "counted"), [(None, []), (0, ["upstream_cold"])])
 def test_sends_to_cold_hosts_are_counted(started: int | None, counted: list[str]) -> None:
-    settings = replace(SETTINGS, tenants=(api.Tenant("a", 1.0, 1000.0),), cold_us=21_000_000, fall_us=3_000_000,
-                       fall_multiple=4.0)
+    settings = replace(
+        SETTINGS, tenants=(api.Tenant("a", 1.0, 1000.0),), cold_us=21_000_000, fall_us=3_000_000, fall_multiple=4.0
+    )
     relay = Relay(settings, loads={"b0": 0.1})
     relay.balancer = Witness(settings, 1)
     relay.show(*fleet(1, started_us=started))
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -26,8 +26,7 @@
         self.drained.append(standing.host)
 
 
-@pytest.mark.parametrize(("ended", "drains"), [
-    ("", ["a"]), ("moved", []), ("refused", []), ("left", [])])
+@pytest.mark.parametrize(("ended", "drains"), [("", ["a"]), ("moved", []), ("refused", []), ("left", [])])
 def test_a_hosts_move_is_its_drain_but_not_where_we_have_moved_the_client(ended: str, drains: list[str]) -> None:
     """Seen: a host answers the end of a moved connection with MOVE. Read before our end was, it took the host out for
     good: after a balancer was drained, two of five hosts, the large ones, got nothing more."""
@@ -118,8 +117,7 @@
     def __init__(self) -> None:
         self.silent: list[str] = []
         self.hushed: list[float] = []
-        self.all = Connections(lambda one, _: self.silent.append(one.id),
-                               lambda _, hush: self.hushed.append(hush / MS))
+        self.all = Connections(lambda one, _: self.silent.append(one.id), lambda _, hush: self.hushed.append(hush / MS))
 
     def look(self, held: list[Standing]) -> tuple[list[str], list[float]]:
         self.silent.clear()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,8 +37,7 @@
         self.committed: dict[int, tuple[int, str, str]] = {}
 
     def made(self, name: str) -> Replica:
-        return Replica(name, self.names, Journal(self.path / name), Random(self.random.random()), self.at,
-                       self.room)
+        return Replica(name, self.names, Journal(self.path / name), Random(self.random.random()), self.at, self.room)
 
     def restart(self, name: str) -> None:
         self.peers[name].journal.close()
@@ -63,7 +62,7 @@
             if peer.role == "leader":
                 assert self.led.setdefault(peer.term, name) == name
             base = peer.journal.base
-            for place, entry in enumerate(peer.journal.entries[:peer.commit - base], base + 1):
+            for place, entry in enumerate(peer.journal.entries[: peer.commit - base], base + 1):
                 assert self.committed.setdefault(place, entry) == entry
         assert sum(peer.leads(self.at) for peer in self.peers.values()) <= 1
 
@@ -78,7 +77,7 @@
 
     def held(self, name: str) -> list[str]:
         peer = self.peers[name]
-        return [value for _, key, value in peer.journal.entries[:peer.commit] if key]
+        return [value for _, key, value in peer.journal.entries[: peer.commit] if key]
 
 
 @pytest.fixture(params=range(5))
@@ -171,8 +170,11 @@
 
 def test_a_lead_that_is_handed_over_and_kept_is_found(net: Net, monkeypatch: pytest.MonkeyPatch) -> None:
     """A bug put in on purpose: the one that hands over goes on by its lease."""
-    monkeypatch.setattr(Replica, "hand_over", lambda self, at: [
-        (peer, Message("now", self.term, self.name)) for peer in self.others[:1]])
+    monkeypatch.setattr(
+        Replica,
+        "hand_over",
+        lambda self, at: [(peer, Message("now", self.term, self.name)) for peer in self.others[:1]],
+    )
     with pytest.raises(AssertionError):
         hand_over_and_be_cut_off(net)
 
@@ -190,7 +192,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_folded_logs_and_chunks_bring_everybody_up_to_date(
-        tmp_path: Path, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("bramblestile.store.replica.FOLD_AT", 6)
     net = Net(tmp_path, seed, size=5, room=40)
     for turn in range(30):
@@ -273,7 +276,8 @@
 
 
 def test_on_sockets_a_word_about_a_host_outlives_its_leader_and_a_restart(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     free = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
     addresses = {f"p{n}": s.getsockname()[:2] for n, s in enumerate(free)}
     for s in free:
@@ -282,9 +286,16 @@
 
     def started(name: str) -> Daemon:
         table = {n: f"{a[0]}:{a[1]}" for n, a in addresses.items()}
-        daemon = Daemon(config.read({
-            "listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"hosts": [host]},
-            "store": {"name": name, "directory": str(tmp_path), "peers": table}}))
+        daemon = Daemon(
+            config.read(
+                {
+                    "listen": "127.0.0.1:0",
+                    "settings": SETTINGS,
+                    "known": {"hosts": [host]},
+                    "store": {"name": name, "directory": str(tmp_path), "peers": table},
+                }
+            )
+        )
         daemon.start()
         return daemon
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -68,9 +68,11 @@
         self._listener.close()
 
 
-def greets(context: ssl.SSLContext | Callable[[], ssl.SSLContext],
-           says: bytes = b"hello\n") -> Callable[[socket.socket], None]:
+def greets(
+    context: ssl.SSLContext | Callable[[], ssl.SSLContext], says: bytes = b"hello\n"
+) -> Callable[[socket.socket], None]:
     """A sound host: a handshake, a line, and whatever the client says until it ends."""
+
     def play(sock: socket.socket) -> None:
         made = context if isinstance(context, ssl.SSLContext) else context()
         with made.wrap_socket(sock, server_side=True) as secured:
@@ -79,6 +81,7 @@
                 pass
             with contextlib.suppress(OSError):
                 secured.unwrap()
+
     return play
 
 
@@ -125,7 +128,7 @@
     while True:
         assert sockets.wait((sock, sockets.READABLE), within=3 * SECOND) is not None
         with contextlib.suppress(BlockingIOError):
-            return bytes(buffer[:sock.recv_into(buffer)])
+            return bytes(buffer[: sock.recv_into(buffer)])
 
 
 def talk(made: Dialer, to: Host) -> channel.TlsChannel:
@@ -143,19 +146,37 @@
 MIDDLE = Authority("middle authority", above=ca())
 OLD_MIDDLE = Authority("old authority", above=ca(), since=-9 * DAY, until=-DAY)
 BAD: dict[str, tuple[Callable[[], Issued], judging.Kind, str]] = {
-    "expired a second ago": (lambda: ca().issue("b0.test", until=-SECOND), judging.Kind.EXPIRED,
-                             r"CN=b0\.test: expired 20.*Z, \d s ago"),
+    "expired a second ago": (
+        lambda: ca().issue("b0.test", until=-SECOND),
+        judging.Kind.EXPIRED,
+        r"CN=b0\.test: expired 20.*Z, \d s ago",
+    ),
     "not yet valid": (lambda: ca().issue("b0.test", since=DAY), judging.Kind.NOT_YET_VALID, r"valid from 20.*in 23 h"),
-    "another host's": (lambda: ca().issue("b1.test", "10.0.0.1"), judging.Kind.WRONG_NAME,
-                       r"CN=b1\.test: is for b1\.test, 10\.0\.0\.1, not for b0\.test"),
-    "another authority's": (lambda: OTHER.issue("b0.test"), judging.Kind.UNKNOWN_ISSUER,
-                            "its issuer CN=other authority was not sent and is no authority of ours"),
-    "its intermediate missing": (lambda: MIDDLE.issue("b0.test", with_chain=False), judging.Kind.UNKNOWN_ISSUER,
-                                 "its issuer CN=middle authority was not sent"),
-    "its intermediate expired": (lambda: OLD_MIDDLE.issue("b0.test"), judging.Kind.EXPIRED,
-                                 "issuer CN=old authority: expired 20.*Z, 1 d 0 h ago"),
-    "for clients only": (lambda: ca().issue("b0.test", server=False), judging.Kind.WRONG_PURPOSE,
-                         "not issued for a server"),
+    "another host's": (
+        lambda: ca().issue("b1.test", "10.0.0.1"),
+        judging.Kind.WRONG_NAME,
+        r"CN=b1\.test: is for b1\.test, 10\.0\.0\.1, not for b0\.test",
+    ),
+    "another authority's": (
+        lambda: OTHER.issue("b0.test"),
+        judging.Kind.UNKNOWN_ISSUER,
+        "its issuer CN=other authority was not sent and is no authority of ours",
+    ),
+    "its intermediate missing": (
+        lambda: MIDDLE.issue("b0.test", with_chain=False),
+        judging.Kind.UNKNOWN_ISSUER,
+        "its issuer CN=middle authority was not sent",
+    ),
+    "its intermediate expired": (
+        lambda: OLD_MIDDLE.issue("b0.test"),
+        judging.Kind.EXPIRED,
+        "issuer CN=old authority: expired 20.*Z, 1 d 0 h ago",
+    ),
+    "for clients only": (
+        lambda: ca().issue("b0.test", server=False),
+        judging.Kind.WRONG_PURPOSE,
+        "not issued for a server",
+    ),
 }
 
 
@@ -189,9 +210,15 @@
     assert talk(dialer(files=Files(ca().file, crl=ca().revoke(bad))), host(greets(good.server())))
 
 
-@pytest.mark.parametrize(("names", "wanted"), [
-    (("10.1.2.3", "127.0.0.1"), "127.0.0.1"), (("spiffe://bergen/image/b0",), "spiffe://bergen/image/b0"),
-    (("*.bergen.test",), "b0.bergen.test"), (("B0.Test",), "b0.test")])
+@pytest.mark.parametrize(
+    ("names", "wanted"),
+    [
+        (("10.1.2.3", "127.0.0.1"), "127.0.0.1"),
+        (("spiffe://bergen/image/b0",), "spiffe://bergen/image/b0"),
+        (("*.bergen.test",), "b0.bergen.test"),
+        (("B0.Test",), "b0.test"),
+    ],
+)
 def test_names_are_proved_as_dns_as_address_and_as_uri(names: tuple[str, ...], wanted: str, host: Any) -> None:
     to = host(greets(ca().issue(*names).server()))
     to.entry = replace(to.entry, tls_name=wanted)
@@ -214,6 +241,7 @@
 
 # What may be resumed.
 
+
 def test_tickets_are_used_once_and_each_connection_brings_the_next(host: Any) -> None:
     counters = Counters()
     made = dialer(counters=counters)
@@ -246,13 +274,13 @@
     """The extensions of a ClientHello (RFC 8446, 4.1.2)."""
     at = 5 + 4 + 2 + 32
     at += 1 + data[at]
-    at += 2 + int.from_bytes(data[at:at + 2], "big")
+    at += 2 + int.from_bytes(data[at : at + 2], "big")
     at += 1 + data[at]
-    end, found = at + 2 + int.from_bytes(data[at:at + 2], "big"), set()
+    end, found = at + 2 + int.from_bytes(data[at : at + 2], "big"), set()
     at += 2
     while at < end:
-        found.add(int.from_bytes(data[at:at + 2], "big"))
-        at += 4 + int.from_bytes(data[at + 2:at + 4], "big")
+        found.add(int.from_bytes(data[at : at + 2], "big"))
+        at += 4 + int.from_bytes(data[at + 2 : at + 4], "big")
     return found
 
 
@@ -272,6 +300,7 @@
 
 # Files that change in service.
 
+
 def test_files_are_taken_whole_or_refused_whole(tmp_path: Path) -> None:
     one, two = ca().issue("client-a", server=False), ca().issue("client-b", server=False)
     cert, key = tmp_path / "c.pem", tmp_path / "c.key"
@@ -286,11 +315,12 @@
     good = load(files)
     assert load(files, good) is good
     for certificate, private, mode, words in (
-            (two.cert_file.read_bytes(), one.key_file.read_bytes(), 0o600, r"^key: .*belongs to another certificate"),
-            (one.cert_file.read_bytes()[:-30], one.key_file.read_bytes(), 0o600, r"^cert: .*c\.pem: "),
-            (one.cert_file.read_bytes(), one.key_file.read_bytes()[:80], 0o600, r"^key: .*not a PEM key"),
-            (one.cert_file.read_bytes(), one.key_file.read_bytes(), 0o640, r"^key: .*others may read it \(mode 0640\)"),
-            (b"", one.key_file.read_bytes(), 0o600, r"^cert: ")):
+        (two.cert_file.read_bytes(), one.key_file.read_bytes(), 0o600, r"^key: .*belongs to another certificate"),
+        (one.cert_file.read_bytes()[:-30], one.key_file.read_bytes(), 0o600, r"^cert: .*c\.pem: "),
+        (one.cert_file.read_bytes(), one.key_file.read_bytes()[:80], 0o600, r"^key: .*not a PEM key"),
+        (one.cert_file.read_bytes(), one.key_file.read_bytes(), 0o640, r"^key: .*others may read it \(mode 0640\)"),
+        (b"", one.key_file.read_bytes(), 0o600, r"^cert: "),
+    ):
         put(certificate, private, mode)
         with pytest.raises(TrustError, match=words) as caught:
             load(files, good)
@@ -318,6 +348,7 @@
                     secured.recv(10)
             except ssl.SSLError as error:
                 heard.append(str(error.reason))
+
         return one
 
     files = Files(ca().file, mine.cert_file, mine.key_file)
@@ -325,13 +356,16 @@
     with pytest.raises(RefusedError):
         dial(dialer(files=files), host(play(OTHER.issue("b0.test").server(clients=OTHER))))
     with pytest.raises(RefusedError):  # OpenSSL would let this one pass: ours is the last word, and comes first
-        dial(dialer(files=replace(files, crl=ca().revoke(bad := ca().issue("b0.test")))),
-             host(play(bad.server(clients=ca()))))
+        dial(
+            dialer(files=replace(files, crl=ca().revoke(bad := ca().issue("b0.test")))),
+            host(play(bad.server(clients=ca()))),
+        )
     assert "balancer-1" in heard[0] and not any("balancer-1" in line for line in heard[1:])
 
 
 # A hostile host.
 
+
 def drips(sock: socket.socket) -> None:
     """A handshake that never ends, a byte at a time."""
     sock.recv(4096)
@@ -349,20 +383,25 @@
 
 def answers(words: bytes) -> Callable[[socket.socket], None]:
     """To the ClientHello; then it ends."""
+
     def play(sock: socket.socket) -> None:
         sock.recv(4096)
         sock.sendall(words)
+
     return play
 
 
-@pytest.mark.parametrize(("play", "words"), [
-    (answers(b"HTTP/1.1 400 Bad Request\r\n\r\n"), "answers in plain text: b'HTTP/1.1 400 Bad'"),
-    (answers(b""), "ended the connection in the handshake|broke in the handshake"),
-    (answers(b"\x15\x03\x03\x00\x02\x02\x28"), "tls: .*alert handshake failure"),
-    (lambda sock: threading.Event().wait(0.5), "no answer to the ClientHello"),
-    (drips, "no end of the handshake in time"),
-    (oversized, "tls: "),
-])
+@pytest.mark.parametrize(
+    ("play", "words"),
+    [
+        (answers(b"HTTP/1.1 400 Bad Request\r\n\r\n"), "answers in plain text: b'HTTP/1.1 400 Bad'"),
+        (answers(b""), "ended the connection in the handshake|broke in the handshake"),
+        (answers(b"\x15\x03\x03\x00\x02\x02\x28"), "tls: .*alert handshake failure"),
+        (lambda sock: threading.Event().wait(0.5), "no answer to the ClientHello"),
+        (drips, "no end of the handshake in time"),
+        (oversized, "tls: "),
+    ],
+)
 def test_a_handshake_that_fails_names_what_the_host_did_and_holds_nothing(play: Any, words: str, host: Any) -> None:
     counters, closed = Counters(), list[Any]()
     made = dialer(counters=counters, handshake=timedelta(milliseconds=200), on_close=lambda *what: closed.append(what))
@@ -394,6 +433,7 @@
         sock.sendall(outgoing.read())
         while True:
             sock.sendall(b"\x14\x03\x03\x00\x01\x01" * 1000)  # TLS 1.3's meaningless record (RFC 8446, D.4)
+
     return play
 
 
@@ -424,12 +464,14 @@
 
 # A refused host.
 
+
 def test_a_refused_host_is_looked_at_again_at_a_bounded_pace_until_it_is_good(host: Any) -> None:
     contexts = [ca().issue("b0.test", until=-SECOND).server()]
     clock, closed, counters = Clock(), list[tuple[str, bool]](), Counters()
     to = host(greets(lambda: contexts[-1]))
-    made = dialer(clock=clock, counters=counters, on_close=lambda *what: closed.append(what),
-                  find=lambda name: to.entry)
+    made = dialer(
+        clock=clock, counters=counters, on_close=lambda *what: closed.append(what), find=lambda name: to.entry
+    )
     with pytest.raises(RefusedError):
         dial(made, to)
     for _ in range(60):  # a minute, looked at ten times a second
@@ -483,12 +525,16 @@
 
 # Endings, on both wires.
 
+
 @BOTH
-@pytest.mark.parametrize("script", [
-    # A bare end in mid-stream may be a cut by someone between: it is passed on as one.
-    UP + "b0 says\nc1 hears\nb0 drop\nc1 broken\nwait ended_cut 1",
-    UP + "b0 close\nc1 ends\nwait ended_cut 1",
-])
+@pytest.mark.parametrize(
+    "script",
+    [
+        # A bare end in mid-stream may be a cut by someone between: it is passed on as one.
+        UP + "b0 says\nc1 hears\nb0 drop\nc1 broken\nwait ended_cut 1",
+        UP + "b0 close\nc1 ends\nwait ended_cut 1",
+    ],
+)
 def test_an_end_without_its_word_is_told_from_one_with_it(wire: str, script: str) -> None:
     Stage(wire).play(script)
 
@@ -512,14 +558,21 @@
     stage.play(f"b1 taken\n{up}\nc1 served\nwait upstream_no_route 1")
 
 
-@pytest.mark.parametrize(("table", "words"), [
-    ({}, "tls.ca: missing"), ({"ca": "x", "cert": "y"}, "tls.cert: cert and key, both or none"),
-    ({"ca": "x", "min_version": "1.1"}, "tls.min_version: '1.1' is none of"),
-    ({"ca": "x", "name": "{hots}"}, "tls.name: '{hots}': KeyError"),
-    ({"ca": "x", "insecure_no_verification": "yes"}, "tls.insecure_no_verification: 'yes' is neither true nor false"),
-    ({"ca": "x", "full_per_s": 0}, "tls.full_per_s: 0 is not a number of at least 0.1"),
-    ({"ca": "x", "resumed_cost": 2}, "tls.resumed_cost: 2 is not a part"),
-])
+@pytest.mark.parametrize(
+    ("table", "words"),
+    [
+        ({}, "tls.ca: missing"),
+        ({"ca": "x", "cert": "y"}, "tls.cert: cert and key, both or none"),
+        ({"ca": "x", "min_version": "1.1"}, "tls.min_version: '1.1' is none of"),
+        ({"ca": "x", "name": "{hots}"}, "tls.name: '{hots}': KeyError"),
+        (
+            {"ca": "x", "insecure_no_verification": "yes"},
+            "tls.insecure_no_verification: 'yes' is neither true nor false",
+        ),
+        ({"ca": "x", "full_per_s": 0}, "tls.full_per_s: 0 is not a number of at least 0.1"),
+        ({"ca": "x", "resumed_cost": 2}, "tls.resumed_cost: 2 is not a part"),
+    ],
+)
 def test_a_faulty_table_is_refused_by_its_key(table: dict[str, Any], words: str) -> None:
     stage = Stage()
     with pytest.raises(config.ConfigError, match="^" + words.replace("{", r"\{")):
@@ -533,17 +586,30 @@
 
 # The commands.
 
+
 def _config(tmp_path: Path, names: dict[str, tuple[str, int]], **tls: Any) -> Path:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({
-        "listen": "127.0.0.1:0", "settings": load_module.SETTINGS, "tls": {"ca": str(tmp_path / "ca" / "ca.pem")} | tls,
-        "known": {"seq": 1, "hosts": [{"host": name, "dial": f"{a}:{p}", "health": "in_service"}
-                                      for name, (a, p) in names.items()]}}))
+    path.write_text(
+        json.dumps(
+            {
+                "listen": "127.0.0.1:0",
+                "settings": load_module.SETTINGS,
+                "tls": {"ca": str(tmp_path / "ca" / "ca.pem")} | tls,
+                "known": {
+                    "seq": 1,
+                    "hosts": [
+                        {"host": name, "dial": f"{a}:{p}", "health": "in_service"} for name, (a, p) in names.items()
+                    ],
+                },
+            }
+        )
+    )
     return path
 
 
 def test_an_authority_is_made_and_hosts_are_checked_against_it(
-        tmp_path: Path, host: Any, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, host: Any, capsys: pytest.CaptureFixture[str]
+) -> None:
     folder = tmp_path / "ca"
     made = ["tls", "make-test-ca", str(folder), "--host", "good", "--host", "bad=else.test"]
     assert main(made) == 0
@@ -575,6 +641,7 @@
 
 # The whole program.
 
+
 def test_a_refused_certificate_is_told_in_the_trace_and_stands_are_kept(tmp_path: Path) -> None:
     good = {name: ca().issue(name) for name in ("h0", "h1")}
     bad = ca().issue("h0", until=-SECOND)
--- a/tests/test_tls_decisions.py
+++ b/tests/test_tls_decisions.py
@@ -21,8 +21,16 @@
 
 # The budget.
 
-def spend(made: Budget, seconds: int, warmth: Callable[[timedelta], float], resumes: float = 0.0, seed: int = 1,
-          rate: int = 200, most_wait: timedelta = NEVER) -> list[tuple[timedelta, float]]:
+
+def spend(
+    made: Budget,
+    seconds: int,
+    warmth: Callable[[timedelta], float],
+    resumes: float = 0.0,
+    seed: int = 1,
+    rate: int = 200,
+    most_wait: timedelta = NEVER,
+) -> list[tuple[timedelta, float]]:
     """Many ask, more than may: when a handshake begins, and its cost."""
     r, taken, at = Random(seed), [], T0
     while at < T0 + seconds * S:
@@ -145,8 +153,9 @@
     assert made.count("h") == 1
 
 
-@pytest.mark.parametrize("other", [
-    Key("h", S, "h.test", 1), Key("h", None, "else.test", 1), Key("h", None, "h.test", 2)])
+@pytest.mark.parametrize(
+    "other", [Key("h", S, "h.test", 1), Key("h", None, "else.test", 1), Key("h", None, "h.test", 2)]
+)
 def test_a_ticket_is_of_one_start_one_name_and_one_trust(other: Key) -> None:
     made = Tickets()
     made.put(KEY, 1, (), T0, S)
@@ -159,6 +168,7 @@
 
 # Refusals.
 
+
 def test_a_refused_host_is_looked_at_ever_more_seldom_and_at_once_when_our_files_change() -> None:
     made = Refusals()
     expired, wrong = Problem(Kind.EXPIRED, "x"), Problem(Kind.WRONG_NAME, "y")
@@ -189,17 +199,28 @@
 DAY = timedelta(days=1)
 
 
-def facts(subject: str = "CN=h", since: datetime = NOW - DAY, until: datetime = NOW + DAY,
-          dns: tuple[str, ...] = ("h.test",), serial: int = 7) -> Facts:
+def facts(
+    subject: str = "CN=h",
+    since: datetime = NOW - DAY,
+    until: datetime = NOW + DAY,
+    dns: tuple[str, ...] = ("h.test",),
+    serial: int = 7,
+) -> Facts:
     return Facts(subject, "CN=ca", serial, since, until, dns)
 
 
 HOST = Name(NameKind.DNS, "h.test")
 
 
-@pytest.mark.parametrize(("now", "kind"), [
-    (NOW + DAY, None), (NOW + DAY + timedelta(microseconds=1), Kind.EXPIRED),
-    (NOW - DAY, None), (NOW - DAY - timedelta(microseconds=1), Kind.NOT_YET_VALID)])
+@pytest.mark.parametrize(
+    ("now", "kind"),
+    [
+        (NOW + DAY, None),
+        (NOW + DAY + timedelta(microseconds=1), Kind.EXPIRED),
+        (NOW - DAY, None),
+        (NOW - DAY - timedelta(microseconds=1), Kind.NOT_YET_VALID),
+    ],
+)
 def test_a_certificate_holds_from_its_first_to_its_last_instant(now: datetime, kind: Kind | None) -> None:
     found = judge([facts()], HOST, now, Revoked())
     assert (found.kind if found else None) is kind
@@ -215,17 +236,32 @@
     assert (found := judge([], HOST, NOW, Revoked())) and found.kind is Kind.NONE_SHOWN
 
 
-@pytest.mark.parametrize(("name", "pattern", "good"), [
-    ("a.b.test", "a.b.test", True), ("a.b.test", "*.b.test", True), ("a.b.test", "*.test", False),
-    ("b.test", "*.test", False), ("a.b.test", "*.*.test", False), ("a.b.test", "a.*.test", False),
-    ("a.b.test", "A.B.TEST", True), ("xa.b.test", "*a.b.test", False), (".b.test", "*.b.test", False)])
+@pytest.mark.parametrize(
+    ("name", "pattern", "good"),
+    [
+        ("a.b.test", "a.b.test", True),
+        ("a.b.test", "*.b.test", True),
+        ("a.b.test", "*.test", False),
+        ("b.test", "*.test", False),
+        ("a.b.test", "*.*.test", False),
+        ("a.b.test", "a.*.test", False),
+        ("a.b.test", "A.B.TEST", True),
+        ("xa.b.test", "*a.b.test", False),
+        (".b.test", "*.b.test", False),
+    ],
+)
 def test_a_wildcard_stands_for_the_whole_leftmost_label(name: str, pattern: str, good: bool) -> None:
     assert matches(Name(NameKind.DNS, name), facts(dns=(pattern,))) is good
 
 
 def test_names_are_told_by_their_form() -> None:
     assert [parse_name(t).kind for t in ("b0", "10.0.0.1", "::1", "spiffe://x/y", "B0.Test")] == [
-        NameKind.DNS, NameKind.IP, NameKind.IP, NameKind.URI, NameKind.DNS]
+        NameKind.DNS,
+        NameKind.IP,
+        NameKind.IP,
+        NameKind.URI,
+        NameKind.DNS,
+    ]
     for bad in ("", "a..b", "a b", "å.test", "x" * 64, "*.test", "a.test."):
         with pytest.raises(ValueError, match="is no name that a certificate can prove"):
             parse_name(bad)
--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -111,8 +111,11 @@
         for before, after in pairwise(steps):
             if after in kinds and before not in kinds:
                 wrong.append(f"{name}: {after} without {before}")
-        if isinstance(told[-1], (Request, Decision, Answer)) and not isinstance(told[-1], Ended) and (
-                last - end > 2_000_000):
+        if (
+            isinstance(told[-1], (Request, Decision, Answer))
+            and not isinstance(told[-1], Ended)
+            and (last - end > 2_000_000)
+        ):
             wrong.append(f"{name}: breaks off at {kinds[-1]}")
     return wrong
 
@@ -155,8 +158,10 @@
 
 
 def test_the_platforms_program_loads_none_of_the_libraries(tmp_path: Path) -> None:
-    code = ("import sys; from bramblestile import __main__; from bramblestile.process import daemon; "
-            "import json; print(json.dumps(sorted(sys.modules)))")
+    code = (
+        "import sys; from bramblestile import __main__; from bramblestile.process import daemon; "
+        "import json; print(json.dumps(sorted(sys.modules)))"
+    )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     libraries = {"msgspec", "zstandard", "xxhash", "click", "structlog", "numpy", "ssl", "cryptography"}
     assert not libraries & set(json.loads(out))
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -63,13 +63,18 @@
 
 def drawn(shape: schema.Shape, r: random.Random) -> Any:
     """A struct with a value of each field's type, odd ones among them."""
+
     def one(column: schema.Column) -> Any:
         if column.nullable and r.random() < 0.5:
             return None
         if column.of is not None:
             return [drawn(column.of, r) for _ in range(r.randrange(4))]
-        return {schema.INT: r.choice((0, 1, -1, r.randrange(1000), r.getrandbits(60))), schema.TEXT: r.choice(TEXTS),
-                schema.FLOAT: r.choice(FLOATS), schema.FLAG: r.random() < 0.5}[column.type]
+        return {
+            schema.INT: r.choice((0, 1, -1, r.randrange(1000), r.getrandbits(60))),
+            schema.TEXT: r.choice(TEXTS),
+            schema.FLOAT: r.choice(FLOATS),
+            schema.FLAG: r.random() < 0.5,
+        }[column.type]
 
     fields = {column.name: one(column) for column in shape.columns}
     if issubclass(shape.cls, Record):
@@ -96,17 +101,29 @@
 @given(st.lists(INTS, min_size=1, max_size=40), st.lists(st.integers(0, 3), min_size=40, max_size=40))
 def test_whole_numbers(values: list[int], keys: list[int]) -> None:
     try:
-        plain, keyed = columns.put_ints(values), columns.put_ints(values, keys[:len(values)])
+        plain, keyed = columns.put_ints(values), columns.put_ints(values, keys[: len(values)])
     except ColumnError:
         assert max(values) - min(values) >= 1 << 64
         return
     assert columns.get_ints(Cursor(plain), len(values)) == values
-    assert columns.get_ints(Cursor(keyed), len(values), keys[:len(values)]) == values
-
-
-@pytest.mark.parametrize("values", [
-    [0.0, -0.0], [math.nan, 1.0], [math.inf, -math.inf], [0.1, 0.25, 1e300], [5e-324], [1e9 + 0.5], [0.001, 123.456],
-    [1 / 3], [0.61, 0.5, 12.0], [1e15, 0.1]])
+    assert columns.get_ints(Cursor(keyed), len(values), keys[: len(values)]) == values
+
+
+@pytest.mark.parametrize(
+    "values",
+    [
+        [0.0, -0.0],
+        [math.nan, 1.0],
+        [math.inf, -math.inf],
+        [0.1, 0.25, 1e300],
+        [5e-324],
+        [1e9 + 0.5],
+        [0.001, 123.456],
+        [1 / 3],
+        [0.61, 0.5, 12.0],
+        [1e15, 0.1],
+    ],
+)
 def test_fractions_keep_every_bit(values: list[float]) -> None:
     got = columns.get_floats(Cursor(columns.put_floats(values)), len(values))
     assert [v.hex() for v in got] == [v.hex() for v in values]
@@ -126,11 +143,13 @@
     assert got == told and len(got) > 20
     ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == asked.cls}
     assert read(path, Wanted(since, until, cls=asked.cls))[0] == [
-        r for r in ROWS if since <= r.at < until and getattr(r, "id", None) in ids]
+        r for r in ROWS if since <= r.at < until and getattr(r, "id", None) in ids
+    ]
 
 
 def test_a_request_is_found_by_the_index_without_reading_the_other_blocks(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = write(tmp_path / "t.trace", ROWS, block=50)
     asked = next(r for r in ROWS if isinstance(r, Request))
     read_blocks: list[int] = []
@@ -151,11 +170,11 @@
 
 def sound(got: list[Record], before: list[Record], blocks: int, block: int = 100) -> None:
     """Whole blocks are missing, at most so many, and nothing is there that was not written."""
-    kept = [before[n:n + block] for n in range(0, len(before), block)]
+    kept = [before[n : n + block] for n in range(0, len(before), block)]
     at = 0
     missing = 0
     for one in kept:
-        if got[at:at + len(one)] == one:
+        if got[at : at + len(one)] == one:
             at += len(one)
         else:
             missing += 1
@@ -171,7 +190,7 @@
     for end in range(places[1].offset, len(whole)):
         path.write_bytes(whole[:end])
         got, reader = read(path)
-        assert got == ROWS[:100 if end < places[2].offset else 200]
+        assert got == ROWS[: 100 if end < places[2].offset else 200]
         assert reader.damaged == (0 if end in (places[1].offset, places[2].offset) else 1)
 
 
@@ -182,7 +201,7 @@
     places = random.Random(7)
     for _ in range(500):
         at = places.randrange(len(whole))
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << places.randrange(8)]) + whole[at + 1:])
+        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << places.randrange(8)]) + whole[at + 1 :])
         got, reader = read(path)
         sound(got, ROWS[:800], 1)
         assert reader.damaged == 1 and 0 <= reader.damage[0].offset <= at
@@ -196,7 +215,7 @@
     assert got == ROWS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
     with Reader(path) as reader:
         hole = list(reader.places())[2]
-    path.write_bytes(whole[:hole.offset + 3] + bytes(hole.frame.size) + whole[hole.offset + 3 + hole.frame.size:])
+    path.write_bytes(whole[: hole.offset + 3] + bytes(hole.frame.size) + whole[hole.offset + 3 + hole.frame.size :])
     got, reader = read(path)
     sound(got, ROWS[:500], 2)
 
@@ -210,14 +229,14 @@
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(raw) - 1))
         junk = data.draw(st.one_of(st.binary(max_size=12), st.just(b"\xff" * 9 + b"\x01")))
-        raw[at:at + data.draw(st.integers(0, 12))] = junk
+        raw[at : at + data.draw(st.integers(0, 12))] = junk
     unpacker, unknown = frames.Unpacker(), Unknown()
     packer = frames.Packer(1, layout)
     block = packer.squeeze(frames.Block(bytes(raw), b"", 60, 0, 1, layout), 0)
     frame = frames.read_frame(block)
     assert frame is not None
     try:
-        got = unpacker.records(frame, block[frames.FRAME_SIZE:], unknown)
+        got = unpacker.records(frame, block[frames.FRAME_SIZE :], unknown)
     except TraceError:
         return
     assert len(got) <= 60
@@ -266,15 +285,21 @@
 
 @LAYOUTS
 def test_an_older_reader_passes_over_what_it_does_not_know_and_counts_it(
-        layout: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    mixed: list[Record] = [Wider("here", cores=4, at=1), Newer("x", [HostState("a", "running")], at=2),
-                           ROWS[1]]
+    layout: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    mixed: list[Record] = [Wider("here", cores=4, at=1), Newer("x", [HostState("a", "running")], at=2), ROWS[1]]
     with monkeypatch.context() as patch:
         patch.setattr(payload, "KINDS", (*KINDS, Newer, Wider))
         for made in (Newer, Wider):
             patch.setitem(cast(Any, schema.SHAPES), made, schema.shape(made))
-        patch.setattr(rows, "_HEAD", b"\x92" + msgspec.msgpack.encode(
-            rows._ours | {"newer": ["at", "what", "parts"], "started": [*rows._ours["started"], "cores"]}))
+        patch.setattr(
+            rows,
+            "_HEAD",
+            b"\x92"
+            + msgspec.msgpack.encode(
+                rows._ours | {"newer": ["at", "what", "parts"], "started": [*rows._ours["started"], "cores"]}
+            ),
+        )
         raw = payload.put(mixed) if layout == frames.COLUMNS else rows.put(mixed)
     unknown = Unknown()
     got = payload.get(raw, unknown) if layout == frames.COLUMNS else rows.get(raw, unknown)
@@ -284,7 +309,8 @@
 
 @pytest.mark.parametrize("kind", ["decision", "probed"])
 def test_what_refers_to_records_of_a_newer_program_is_refused_and_never_told_wrong(
-        kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(schema.BY_NAME[kind], "VERSION", 2)
         raw = payload.put(ROWS)
@@ -307,9 +333,20 @@
             if r.random() < 0.9:
                 told[host] = load, at
         else:
-            made.append(Decision(f"{at:016x}", "attempt", "first", candidates=[
-                Candidate(h, load=told.get(h, (None, 0))[0], load_at=told.get(h, (None, 0))[1], placed=r.randrange(2))
-                for h in r.sample(hosts, r.randrange(4))], at=at))
+            made.append(
+                Decision(
+                    f"{at:016x}",
+                    "attempt",
+                    "first",
+                    candidates=[
+                        Candidate(
+                            h, load=told.get(h, (None, 0))[0], load_at=told.get(h, (None, 0))[1], placed=r.randrange(2)
+                        )
+                        for h in r.sample(hosts, r.randrange(4))
+                    ],
+                    at=at,
+                )
+            )
     raw = payload.put(made)
     assert payload.get(raw, Unknown()) == made
     silent = [r for r in made if not isinstance(r, Probed)]
@@ -323,16 +360,22 @@
             load = r.randrange(1000) / 1000
             if answers:
                 made.append(Probed("a", "served", 5, load=load, at=at))
-            made.append(Decision("x", "attempt", "first", at=at + 1, candidates=[
-                Candidate("a", load=load, load_at=at), Candidate("b", load=0.5, load_at=7)]))
+            made.append(
+                Decision(
+                    "x",
+                    "attempt",
+                    "first",
+                    at=at + 1,
+                    candidates=[Candidate("a", load=load, load_at=at), Candidate("b", load=0.5, load_at=7)],
+                )
+            )
         return len(zstandard.compress(payload.put(made)))
 
     # The answers themselves take 400 times and loads; a decision that repeated them would take as much again.
     assert packed(True) < packed(False) + 150
 
 
-def test_a_newer_major_version_and_what_is_no_trace_are_named(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_newer_major_version_and_what_is_no_trace_are_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(frames, "MAJOR", 2)
         path = write(tmp_path / "t.trace", ROWS[:5])
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -79,8 +79,11 @@
 
 
 def story(name: str, outcome: str = "served", end: str = "served", cls: str = "feed") -> list[Record]:
-    out: list[Record] = [Request(name, "lines", cls, 1, at=1), Attempt(name, 0, "a", "up", 1, at=2),
-                         Answer(name, outcome, cls, 1, 1, at=3)]
+    out: list[Record] = [
+        Request(name, "lines", cls, 1, at=1),
+        Attempt(name, 0, "a", "up", 1, at=2),
+        Answer(name, outcome, cls, 1, 1, at=3),
+    ]
     return out + ([Stand(name, "a", at=4), Ended(name, "a", end, 1, at=5)] if outcome == "served" else [])
 
 
@@ -88,10 +91,18 @@
     return [out for record in records for out in sampler.offer(record)]
 
 
-@pytest.mark.parametrize("kept", [
-    story("r", "refused"), story("r", "failed"), story("r", "left"), story("r", end="cut"), story("r", end="timed_out"),
-    [*story("r")[:4], Moved("r", "a", "hush", at=5), Ended("r", "a", "cancelled", 1, moved=True, at=6)],
-    story("r", cls="edit")])
+@pytest.mark.parametrize(
+    "kept",
+    [
+        story("r", "refused"),
+        story("r", "failed"),
+        story("r", "left"),
+        story("r", end="cut"),
+        story("r", end="timed_out"),
+        [*story("r")[:4], Moved("r", "a", "hush", at=5), Ended("r", "a", "cancelled", 1, moved=True, at=6)],
+        story("r", cls="edit"),
+    ],
+)
 def test_what_went_wrong_is_kept_whole_and_in_order(kept: list[Record]) -> None:
     sampler = Sampler({"feed": 0.0})
     assert play(sampler, kept) == kept and sampler.held == 0 and sampler.rest() == []
@@ -178,7 +189,7 @@
         self.file, self.fault = file, fault
 
     def write(self, data: bytes) -> int:
-        return self.file.write(memoryview(data)[:self.fault(len(data))])
+        return self.file.write(memoryview(data)[: self.fault(len(data))])
 
     def truncate(self, size: int) -> int:
         return self.file.truncate(size)
@@ -246,7 +257,8 @@
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("partly", [False, True])
 def test_a_disk_that_fails_costs_records_that_are_told_and_recording_resumes(
-        tmp_path: Path, number: int, partly: bool) -> None:
+    tmp_path: Path, number: int, partly: bool
+) -> None:
     broken: list[int] = []
 
     def fault(size: int) -> int:
@@ -312,8 +324,18 @@
     """What the other tests and the measurements stand on."""
     rows = list(itertools.islice(Fleet(script=((1, "drain", "1"), (2, "die", "2")), rate=60.0).records(), 6000))
     kinds = Count(type(r).__name__ for r in rows)
-    assert set(kinds) >= {"Request", "Decision", "ProbeSent", "Probed", "Attempt", "Answer", "Stand", "Ended", "Moved",
-                          "Listed"}
+    assert set(kinds) >= {
+        "Request",
+        "Decision",
+        "ProbeSent",
+        "Probed",
+        "Attempt",
+        "Answer",
+        "Stand",
+        "Ended",
+        "Moved",
+        "Listed",
+    }
     answers = Count(r.id for r in rows if isinstance(r, Answer))
     assert max(answers.values()) == 1
     assert all(r.candidates for r in rows if isinstance(r, Decision) and r.what == "attempt")
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -63,7 +63,8 @@
 
 
 def test_import_and_export_are_lossless_both_ways(
-        tmp_path: Path, trace: Path, capfdbinary: pytest.CaptureFixture[bytes]) -> None:
+    tmp_path: Path, trace: Path, capfdbinary: pytest.CaptureFixture[bytes]
+) -> None:
     lines = tmp_path / "t.jsonl"
     assert run("export", trace, "-o", lines) == 0
     assert lines.read_bytes() == b"".join(to_json(r) + b"\n" for r in ROWS)
@@ -79,8 +80,9 @@
     command = [sys.executable, "-m", "bramblestile", "trace"]
     out = tmp_path / "o.trace"
     with subprocess.Popen([*command, "export", str(trace)], stdout=subprocess.PIPE) as export:
-        done = subprocess.run([*command, "import", "-", str(out)], stdin=export.stdout, capture_output=True,
-                              check=False)
+        done = subprocess.run(
+            [*command, "import", "-", str(out)], stdin=export.stdout, capture_output=True, check=False
+        )
     assert done.returncode == 0 and load(out) == ROWS
     with subprocess.Popen([*command, "export", str(trace)], stdout=subprocess.PIPE, stderr=subprocess.PIPE) as export:
         assert export.stdout is not None and export.stderr is not None
@@ -102,7 +104,7 @@
     whole = trace.read_bytes()
     with Reader(trace) as reader:
         third = list(reader.places())[2]
-    hurt = whole[:third.offset + 300] + b"\0" + whole[third.offset + 301:]
+    hurt = whole[: third.offset + 300] + b"\0" + whole[third.offset + 301 :]
     trace.write_bytes(hurt[:-7])
     assert run("info", trace) == 0
     told = capfd.readouterr()
@@ -122,8 +124,9 @@
         assert reader.description["cut_from"] == "t.trace" and reader.description["instance"] == "n1"
 
 
-def test_nothing_is_overwritten_and_no_half_file_is_left(tmp_path: Path, trace: Path,
-                                                         capfd: pytest.CaptureFixture[str]) -> None:
+def test_nothing_is_overwritten_and_no_half_file_is_left(
+    tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str]
+) -> None:
     out = tmp_path / "o.trace"
     out.write_text("mine")
     assert run("cut", trace, "-o", out) == 2 and out.read_text() == "mine"
@@ -139,9 +142,12 @@
 def test_an_interrupted_import_leaves_nothing_under_its_name(tmp_path: Path) -> None:
     out = tmp_path / "o.trace"
     # A shell's background job ignores SIGINT, and what it starts inherits that: the command must hear it here.
-    with subprocess.Popen([sys.executable, "-m", "bramblestile", "trace", "import", "-", str(out)],
-                          stdin=subprocess.PIPE, stderr=subprocess.PIPE,
-                          preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL)) as command:
+    with subprocess.Popen(
+        [sys.executable, "-m", "bramblestile", "trace", "import", "-", str(out)],
+        stdin=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
+    ) as command:
         assert command.stdin is not None and command.stderr is not None
         command.stdin.write(b"".join(to_json(r) + b"\n" for r in ROWS))
         command.stdin.flush()
@@ -152,17 +158,22 @@
     assert list(tmp_path.iterdir()) == []
 
 
-@pytest.mark.parametrize(("arguments", "code", "said"), [
-    (["info", "{junk}"], 2, "{junk}: not a trace"),
-    (["info", "{none}"], 1, "{none}: No such file or directory"),
-    (["story", "{trace}", "nobody"], 1, "{trace}: no request nobody"),
-    (["import", "{junk}", "{out}"], 2, "{junk}: line 1: "),
-    (["cut", "{trace}", "-o", "{none}/x"], 1, "No such file or directory"),
-    (["anonymise", "{trace}", "-o", "{out}", "--key-file", "{short}"], 2, "the key has 5 bytes"),
-    (["nothing"], 2, "trace: No such command 'nothing'"), (["cut", "{trace}"], 2, "Missing option '-o'"),
-])
-def test_refused_input_gets_one_line(tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str],
-                                     arguments: list[str], code: int, said: str) -> None:
+@pytest.mark.parametrize(
+    ("arguments", "code", "said"),
+    [
+        (["info", "{junk}"], 2, "{junk}: not a trace"),
+        (["info", "{none}"], 1, "{none}: No such file or directory"),
+        (["story", "{trace}", "nobody"], 1, "{trace}: no request nobody"),
+        (["import", "{junk}", "{out}"], 2, "{junk}: line 1: "),
+        (["cut", "{trace}", "-o", "{none}/x"], 1, "No such file or directory"),
+        (["anonymise", "{trace}", "-o", "{out}", "--key-file", "{short}"], 2, "the key has 5 bytes"),
+        (["nothing"], 2, "trace: No such command 'nothing'"),
+        (["cut", "{trace}"], 2, "Missing option '-o'"),
+    ],
+)
+def test_refused_input_gets_one_line(
+    tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str], arguments: list[str], code: int, said: str
+) -> None:
     (tmp_path / "junk").write_text("what is this?\n")
     (tmp_path / "short").write_text("12345")
     names = {n: str(tmp_path / n) for n in ("junk", "none", "out", "short")} | {"trace": str(trace)}
@@ -238,19 +249,25 @@
 def test_what_nothing_links_is_said_and_not_guessed() -> None:
     nothing = estimate(seen(ROWS[:50]), Seen())
     assert nothing.by == "nothing" and math.isinf(nothing.within_us) and nothing.at(START) == 0
-    one_way = estimate(seen([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
-                       seen([Request("s", "lines", "feed", 1, key="a", is_return=True, at=START + 30_000)]))
+    one_way = estimate(
+        seen([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
+        seen([Request("s", "lines", "feed", 1, key="a", is_return=True, at=START + 30_000)]),
+    )
     assert one_way.by == "nothing" and "less than 30.0 ms" in one_way.note
-    reports = [seen([Probed("h", "served", 1, load=0.1 * n, queue=float(n), at=START + n * 1_000_000 + off)
-                     for n in range(9)]) for off in (0, 7_000)]
+    reports = [
+        seen([Probed("h", "served", 1, load=0.1 * n, queue=float(n), at=START + n * 1_000_000 + off) for n in range(9)])
+        for off in (0, 7_000)
+    ]
     got = estimate(*reports)
     assert got.by == "links" and got.links == {"report": 9} and abs(got.offset_us - 7_000) < 100
 
 
 def test_links_chain_through_a_third_trace() -> None:
     def told(host: str, at: int) -> list[Record]:
-        return [Listed("lines", "changes", [HostState(f"{host}{n}", "draining")], at=START + at + n * 1_000_000)
-                for n in range(5)]
+        return [
+            Listed("lines", "changes", [HostState(f"{host}{n}", "draining")], at=START + at + n * 1_000_000)
+            for n in range(5)
+        ]
 
     traces = [seen(told("x", 0)), seen([*told("x", 10_000), *told("y", 10_000)]), seen(told("y", 30_000))]
     known = {(a, b): estimate(traces[a], traces[b]) for a in range(3) for b in range(a + 1, 3)}
@@ -263,7 +280,8 @@
 
 
 def test_merge_brings_all_on_one_clock_and_keeps_each_records_own_time(
-        tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capfd: pytest.CaptureFixture[str]
+) -> None:
     here, there = halls(40_000, 0.0)
     a = save(tmp_path / "a.trace", here, instance="n1")
     b = save(tmp_path / "b.trace", there, layout=frames.ROWS, instance="n2")
@@ -286,8 +304,11 @@
 
 
 def test_anonymise_hides_alike_and_leaves_no_original_byte(tmp_path: Path) -> None:
-    told: list[Record] = [*ROWS, Logged("info", "check", "vestland-museum asked", id=ROWS[1].id, at=START),  # type: ignore[attr-defined]
-                          Reloaded(False, "settings: fjord-kunstsamling: unheard of", at=START)]
+    told: list[Record] = [
+        *ROWS,
+        Logged("info", "check", "vestland-museum asked", id=ROWS[1].id, at=START),  # type: ignore[attr-defined]
+        Reloaded(False, "settings: fjord-kunstsamling: unheard of", at=START),
+    ]
     key, other = tmp_path / "key", tmp_path / "other"
     key.write_bytes(bytes(range(32)))
     other.write_bytes(bytes(range(1, 33)))
@@ -297,7 +318,8 @@
         assert run("anonymise", source, "-o", out, "--key-file", secret, *(["--hosts"] if out == outs[0] else [])) == 0
     asked = [r for r in ROWS if isinstance(r, Request)]
     originals = {v.encode() for r in asked for v in (r.id, r.key, r.group, r.tenant) if v} | {
-        h.host.encode() for r in ROWS if isinstance(r, Listed) for h in r.hosts}
+        h.host.encode() for r in ROWS if isinstance(r, Listed) for h in r.hosts
+    }
     with Reader(outs[0]) as reader:
         raw = b"".join(frames.Unpacker().raw(p.frame, reader._body(p)) for p in reader.places())
         raw += b"".join(to_json(r) for r in reader.read()) + json.dumps(reader.description).encode()
@@ -305,14 +327,15 @@
     hidden = [[r for r in load(out) if isinstance(r, Request)] for out in outs]
     mine = {r.id: h.id for r, h in zip(asked, hidden[0], strict=True)}
     assert len(set(mine.values())) == len(asked)
-    assert [h.id for h in hidden[1]] == [mine[r.id] for r in asked[:len(hidden[1])]]
+    assert [h.id for h in hidden[1]] == [mine[r.id] for r in asked[: len(hidden[1])]]
     assert len({h.tenant for h in hidden[0]}) == len({r.tenant for r in asked}) <= len(TENANTS)
     assert not {h.id for h in hidden[0]} & {h.id for h in hidden[2]}
     assert [(r.at, r.cls, r.wait_us) for r in hidden[0]] == [(r.at, r.cls, r.wait_us) for r in asked]
 
 
 def test_an_identity_that_also_stands_in_a_kept_field_stops_it(
-        tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capfd: pytest.CaptureFixture[str]
+) -> None:
     source = save(tmp_path / "s", [Request("r" * 9, "lines", "museum-feed", 1, tenant="museum", at=1)])
     (tmp_path / "key").write_bytes(bytes(32))
     assert run("anonymise", source, "-o", tmp_path / "out", "--key-file", tmp_path / "key") == 2
@@ -324,8 +347,9 @@
 # Figures.
 
 
-def test_summarise_in_three_forms(trace: Path, capfd: pytest.CaptureFixture[str],
-                                  monkeypatch: pytest.MonkeyPatch) -> None:
+def test_summarise_in_three_forms(
+    trace: Path, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert run("summarise", trace, "--format", "json", "--window", "5") == 0
     made = json.loads(capfd.readouterr().out)
     asked = [r for r in ROWS if isinstance(r, Request)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -90,11 +90,17 @@
     client.close()
 
 
-@pytest.mark.parametrize(("value", "said"), [
-    ("seven", "EDGE_SOCKET_FD: 'seven' is not"), ("2", "EDGE_SOCKET_FD: '2' is not"),
-    ("999", "EDGE_SOCKET_FD: descriptor 999"), ("PIPE", "EDGE_SOCKET_FD: descriptor"),
-    ("UDP", "EDGE_SOCKET_FD: descriptor"), ("IDLE", "EDGE_SOCKET_FD: descriptor"),
-])
+@pytest.mark.parametrize(
+    ("value", "said"),
+    [
+        ("seven", "EDGE_SOCKET_FD: 'seven' is not"),
+        ("2", "EDGE_SOCKET_FD: '2' is not"),
+        ("999", "EDGE_SOCKET_FD: descriptor 999"),
+        ("PIPE", "EDGE_SOCKET_FD: descriptor"),
+        ("UDP", "EDGE_SOCKET_FD: descriptor"),
+        ("IDLE", "EDGE_SOCKET_FD: descriptor"),
+    ],
+)
 def test_a_descriptor_that_is_no_listening_socket_ends_the_start(tmp_path: Path, value: str, said: str) -> None:
     pipe = os.pipe()
     with socket.socket(type=socket.SOCK_DGRAM) as udp, socket.socket() as idle:
@@ -102,8 +108,13 @@
         config = tmp_path / "config.json"
         config.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
         ended = subprocess.run(
-            [sys.executable, "-m", "bramblestile"], pass_fds=[number] if number else [], capture_output=True, text=True,
-            timeout=20, env=os.environ | {"EDGE_CONFIG": str(config), "EDGE_SOCKET_FD": str(number or value)})
+            [sys.executable, "-m", "bramblestile"],
+            pass_fds=[number] if number else [],
+            capture_output=True,
+            text=True,
+            timeout=20,
+            env=os.environ | {"EDGE_CONFIG": str(config), "EDGE_SOCKET_FD": str(number or value)},
+        )
     for end in pipe:
         os.close(end)
     assert ended.returncode == 2 and said in ended.stderr and ended.stderr.count("\n") == 1
@@ -168,11 +179,18 @@
     assert process.wait(10) == 0
 
 
-@pytest.mark.parametrize("part", [
-    b'{"hosts": {"a": [null, 0.5]}}', b'{"hosts": {"a": {"started_us": null, "load": "high", "load_at": 1}}}',
-    b'{"hosts": 7}', b'{"own": {"average": 0.5}}', b'{"own": {"warmed": [1], "arrivals": [[1]]}}', b'[]'])
-def test_what_another_version_tells_of_itself_keeps_nobody_from_becoming_ready(
-        balancer: Balancer, part: bytes) -> None:
+@pytest.mark.parametrize(
+    "part",
+    [
+        b'{"hosts": {"a": [null, 0.5]}}',
+        b'{"hosts": {"a": {"started_us": null, "load": "high", "load_at": 1}}}',
+        b'{"hosts": 7}',
+        b'{"own": {"average": 0.5}}',
+        b'{"own": {"warmed": [1], "arrivals": [[1]]}}',
+        b"[]",
+    ],
+)
+def test_what_another_version_tells_of_itself_keeps_nobody_from_becoming_ready(balancer: Balancer, part: bytes) -> None:
     """An upgrade is a change of versions: what is told in another form is served on without."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as older:
         older.bind(str(balancer.folder / "tmp" / succession.NAME))
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -33,14 +33,27 @@
     return Order("p1", Status.RUNNING, "test", limits or Limits(2, 0.5, False), (), names, 8, 0, 1, machines, {})
 
 
-@pytest.mark.parametrize(("text", "names"), [
-    ("machines = ", "not TOML"), ('reason = "x"', "machines"), (PLAN.replace("m1", "m0"), "m0: named twice"),
-    (PLAN + "most_out = 0", "most_out"), (PLAN + "most_out = 1.5", "most_out"), (PLAN + "least_capacity = 2", "least_"),
-    (PLAN + "halls_apart = 1", "halls_apart"), (PLAN + "limit_s = 0", "limit_s"), (PLAN + "colour = 1", "colour"),
-    (PLAN + "command = 'reboot'", "command"), ('machines = ["m0"]\nreason = ""', "reason"),
-    (PLAN.replace("m1", "m" * 65), "machines"), (PLAN.replace("m1", "@b1"), "machines"),
-    (PLAN + "bystanders = 1", "bystanders"),
-    (PLAN + 'balancers = ["b1"]', "balancers: not in one plan"), ('balancers = ["a", "a"]', "balancers: a: named")])
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        ("machines = ", "not TOML"),
+        ('reason = "x"', "machines"),
+        (PLAN.replace("m1", "m0"), "m0: named twice"),
+        (PLAN + "most_out = 0", "most_out"),
+        (PLAN + "most_out = 1.5", "most_out"),
+        (PLAN + "least_capacity = 2", "least_"),
+        (PLAN + "halls_apart = 1", "halls_apart"),
+        (PLAN + "limit_s = 0", "limit_s"),
+        (PLAN + "colour = 1", "colour"),
+        (PLAN + "command = 'reboot'", "command"),
+        ('machines = ["m0"]\nreason = ""', "reason"),
+        (PLAN.replace("m1", "m" * 65), "machines"),
+        (PLAN.replace("m1", "@b1"), "machines"),
+        (PLAN + "bystanders = 1", "bystanders"),
+        (PLAN + 'balancers = ["b1"]', "balancers: not in one plan"),
+        ('balancers = ["a", "a"]', "balancers: a: named"),
+    ],
+)
 def test_a_plan_that_makes_no_sense_is_refused_by_its_key(text: str, names: str) -> None:
     with pytest.raises(PlanError, match=names):
         parse(text)
@@ -63,19 +76,24 @@
     assert settle(Asked(("m0", "m1"), "x", Limits()), FLEET)[1] == 0
 
 
-@pytest.mark.parametrize(("limits", "fleet", "stages", "why"), [
-    (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.COLD}, None),
-    (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.OUT}, "m0, m1 on their way"),
-    (Limits(2, 0.5, False), {"m6": Seen("hall-0", up=False)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
-    (Limits(2, 0.5, False), {"m6": Seen("hall-0", by_hand=True)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
-    (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.3)}, {"m0": Stage.OUT}, "m0, z missing already"),
-    (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.95)}, {"m0": Stage.OUT}, None),
-    (Limits(3, 0.5, True), {"m3": Seen("hall-1", up=False)}, {"m0": Stage.OUT}, "m0 of another hall"),
-    (Limits(3, 0.8, False), {}, {"m0": Stage.OUT}, "75% of the capacity would be left, 80% must stay"),
-    (Limits(3, 0.5, False), {n: Seen(load=0.85) for n in FLEET}, {}, "would fill 97%"),
-    (Limits(3, 0.5, False), {"m0": Seen("hall-0", up=False)}, {}, None)])
-def test_whether_one_more_may_leave(limits: Limits, fleet: dict[str, Seen], stages: dict[str, Stage],
-                                    why: str | None) -> None:
+@pytest.mark.parametrize(
+    ("limits", "fleet", "stages", "why"),
+    [
+        (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.COLD}, None),
+        (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.OUT}, "m0, m1 on their way"),
+        (Limits(2, 0.5, False), {"m6": Seen("hall-0", up=False)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
+        (Limits(2, 0.5, False), {"m6": Seen("hall-0", by_hand=True)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
+        (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.3)}, {"m0": Stage.OUT}, "m0, z missing already"),
+        (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.95)}, {"m0": Stage.OUT}, None),
+        (Limits(3, 0.5, True), {"m3": Seen("hall-1", up=False)}, {"m0": Stage.OUT}, "m0 of another hall"),
+        (Limits(3, 0.8, False), {}, {"m0": Stage.OUT}, "75% of the capacity would be left, 80% must stay"),
+        (Limits(3, 0.5, False), {n: Seen(load=0.85) for n in FLEET}, {}, "would fill 97%"),
+        (Limits(3, 0.5, False), {"m0": Seen("hall-0", up=False)}, {}, None),
+    ],
+)
+def test_whether_one_more_may_leave(
+    limits: Limits, fleet: dict[str, Seen], stages: dict[str, Stage], why: str | None
+) -> None:
     choice = choose(order(limits, **stages), FLEET | fleet)
     assert (choice.name is not None) == (why is None) and (why or "") in choice.why
 
@@ -110,8 +128,15 @@
     for number, (key, value) in enumerate(keys.begin("p1", asked, tuple(FLEET), 1, values)):
         assert not keys.load(values).is_on, number
         values[key] = value
-    values.update([keys.ahead_key("p1", 3), keys.floor_key("p1", 2), keys.machine_key("p1", "m2", Stage.HELD, "why"),
-                   keys.machine_key("p0", "m3", Stage.OUT), keys.roster_key("b1", "p1")])
+    values.update(
+        [
+            keys.ahead_key("p1", 3),
+            keys.floor_key("p1", 2),
+            keys.machine_key("p1", "m2", Stage.HELD, "why"),
+            keys.machine_key("p0", "m3", Stage.OUT),
+            keys.roster_key("b1", "p1"),
+        ]
+    )
     got = keys.load(values)
     assert (got.status, got.names, got.ahead, got.tail) == (Status.RUNNING, tuple(FLEET), 3, 1) and got.floor == 2
     assert got.limits == asked.limits and got.command == asked.command and got.roster == {"b1": "p1"}
@@ -120,8 +145,24 @@
 
 
 def reply(hand: Hand, version: int, at: timedelta, **more: object) -> Reply:
-    base = Reply("b0", hand.life, 1, version, at // timedelta(microseconds=1), 3000, "p1", "running", 2, 4, {},
-                 ("m0", "m1"), (), ("m3",), 0, ("m0", "m1", "m2", "m3"))
+    base = Reply(
+        "b0",
+        hand.life,
+        1,
+        version,
+        at // timedelta(microseconds=1),
+        3000,
+        "p1",
+        "running",
+        2,
+        4,
+        {},
+        ("m0", "m1"),
+        (),
+        ("m3",),
+        0,
+        ("m0", "m1", "m2", "m3"),
+    )
     return structs.replace(base, **more)
 
 
@@ -142,8 +183,9 @@
     hand.hear(reply(hand, 6, 40 * S, alone={"m0": "back"}, over=("m2",)), 40 * S)
     assert allowed(hand, 41 * S) == "m0 m1 m2 m3 x"
     assert allowed(hand, 100 * S) == "m2 m3 x"
-    again = Hand("b1", 8, plan="p1", status="running", window=hand.window, refuge=hand.refuge, names=hand.names,
-                 count=4)
+    again = Hand(
+        "b1", 8, plan="p1", status="running", window=hand.window, refuge=hand.refuge, names=hand.names, count=4
+    )
     assert allowed(again, S) == "m3 x"  # restarted, with what was kept: silent until it is heard
     hand.hear(reply(hand, 7, 101 * S, plan="", status="ended"), 101 * S)
     assert allowed(hand, 200 * S) == "m0 m1 m2 m3 x"
@@ -170,7 +212,11 @@
     for name, seen, quiet in (("b0", 10, "m0"), ("b1", 10, ""), ("b2", 9, "m0")):
         foreman.heard[name] = Heard(101 * S, 1, seen, "p1", 3, frozenset([quiet]))
     assert foreman.lacks(machine, now, 102 * S) == {
-        "b1": "is still sending there", "b2": "has not confirmed", "b3": "has not confirmed", "b9": "has not confirmed"}
+        "b1": "is still sending there",
+        "b2": "has not confirmed",
+        "b3": "has not confirmed",
+        "b9": "has not confirmed",
+    }
     late = foreman.lacks(machine, now, 101 * S + LEASE * 1.2)
     assert set(late) == {"b3", "b9"} and "does not know of this plan" in late["b9"]
     floored = replace(now, floor=1)
@@ -273,11 +319,21 @@
     patch.setattr(planner, "not_yet", lambda name, now, fleet: "")
 
 
-@pytest.mark.parametrize("bug", [
-    counts_a_confirm_twice, goes_by_the_wall_clock, steps_without_the_majority, gives_a_lease_to_one_it_may_forget,
-    thinks_leases_shorter_than_they_are, takes_a_balancer_out_unasked, forgets_who_keeps_the_agreement])
-def test_a_bug_put_in_on_purpose_is_found(bug: Callable[[pytest.MonkeyPatch], None],
-                                          monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "bug",
+    [
+        counts_a_confirm_twice,
+        goes_by_the_wall_clock,
+        steps_without_the_majority,
+        gives_a_lease_to_one_it_may_forget,
+        thinks_leases_shorter_than_they_are,
+        takes_a_balancer_out_unasked,
+        forgets_who_keeps_the_agreement,
+    ],
+)
+def test_a_bug_put_in_on_purpose_is_found(
+    bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
     bug(monkeypatch)
     with pytest.raises(BrokenError, match=r"is out, and|on their way|was aborted|no majority"):
         for seed in range(160):
--- a/tests/test_work_processes.py
+++ b/tests/test_work_processes.py
@@ -175,9 +175,12 @@
 def test_plans_that_are_refused_by_name(site: Site) -> None:
     stage, work = site
     names = list(town_of(stage).hosts)
-    for body, why in ((work.plan(names, least_capacity=0.9), f"{names[0]} there is 83% left, and 90% must stay"),
-                      (work.plan(["stranger"]), "machines: stranger: no image server of this name is listed"),
-                      (b"machines = 3", "machines: not a list of names"), (b"[", "not TOML")):
+    for body, why in (
+        (work.plan(names, least_capacity=0.9), f"{names[0]} there is 83% left, and 90% must stay"),
+        (work.plan(["stranger"]), "machines: stranger: no image server of this name is listed"),
+        (b"machines = 3", "machines: not a list of names"),
+        (b"[", "not TOML"),
+    ):
         status, said = work.ask("PUT", "/start", body)
         assert (status, why in said) == (409, True), said
     work.begin(names[:2])
@@ -204,8 +207,10 @@
     assert work.ended() == {"done": 3}
 
 
-@pytest.mark.parametrize(("command", "why"), [
-    (["false"], "its command ended with 1"), (["sleep", "60"], "took over"), (["/no/such/file"], "its command")])
+@pytest.mark.parametrize(
+    ("command", "why"),
+    [(["false"], "its command ended with 1"), (["sleep", "60"], "took over"), (["/no/such/file"], "its command")],
+)
 def test_a_work_command_that_fails_or_hangs_holds_its_machine(site: Site, command: list[str], why: str) -> None:
     stage, work = site
     names = list(town_of(stage).hosts)
@@ -314,8 +319,13 @@
     file.write_bytes(work.plan(list(town_of(stage).hosts)[:2]))
 
     def said(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "bramblestile", "work", "--at", at, *words], capture_output=True,
-                              text=True, timeout=20, check=False)
+        return subprocess.run(
+            [sys.executable, "-m", "bramblestile", "work", "--at", at, *words],
+            capture_output=True,
+            text=True,
+            timeout=20,
+            check=False,
+        )
 
     assert said("plan", str(file)).stdout.count("hall-") == 2 and "no plan" in said("show").stdout
     assert said("start", str(file)).returncode == 0
--- a/tests/upgrade.py
+++ b/tests/upgrade.py
@@ -52,9 +52,17 @@
         self.folder, self.config = folder, folder / "config.json"
         (folder / "tmp").mkdir()
         self.values: dict[str, Any] = {
-            "name": "n1", "settings": SETTINGS, "listen": "{}:{}".format(*self.clients.getsockname()),
-            "known": {"seq": 1, "hosts": [{"host": name, "dial": "{}:{}".format(*host.sock.getsockname()),
-                                           "health": "in_service"} for name, host in hosts.items()]}} | values
+            "name": "n1",
+            "settings": SETTINGS,
+            "listen": "{}:{}".format(*self.clients.getsockname()),
+            "known": {
+                "seq": 1,
+                "hosts": [
+                    {"host": name, "dial": "{}:{}".format(*host.sock.getsockname()), "health": "in_service"}
+                    for name, host in hosts.items()
+                ],
+            },
+        } | values
         self.processes: list[subprocess.Popen[str]] = []
         self.managed: list[tuple[str, int]] = []
 
@@ -65,9 +73,13 @@
         self.config.write_text(json.dumps(self.values | {"management": "{}:{}".format(*self.managed[-1])}))
         number = self.clients.fileno()
         process = subprocess.Popen(
-            [sys.executable, "-m", "bramblestile"], pass_fds=[number], stderr=subprocess.PIPE, text=True,
-            env=os.environ | {"EDGE_CONFIG": str(self.config), "EDGE_SOCKET_FD": str(number),
-                              "TMPDIR": str(self.folder / "tmp")})
+            [sys.executable, "-m", "bramblestile"],
+            pass_fds=[number],
+            stderr=subprocess.PIPE,
+            text=True,
+            env=os.environ
+            | {"EDGE_CONFIG": str(self.config), "EDGE_SOCKET_FD": str(number), "TMPDIR": str(self.folder / "tmp")},
+        )
         self.processes.append(process)
         until = time.monotonic() + BOUND
         while self.call("GET /v1/readyz") != 200:
--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -156,8 +156,19 @@
         names = [c.name for c in self.classes]
         _check(len(set(names)) == len(names), "classes", names)
         _at_least(self, 1, "balancers", "try_limit", "must_ask_in_us")
-        _at_least(self, 0, "max_retry_after_us", "over_share_worth", "cross_zone_price", "move_price",
-                  "probe_price", "cold_us", "fall_multiple", "fall_us", "drain_grace_us")
+        _at_least(
+            self,
+            0,
+            "max_retry_after_us",
+            "over_share_worth",
+            "cross_zone_price",
+            "move_price",
+            "probe_price",
+            "cold_us",
+            "fall_multiple",
+            "fall_us",
+            "drain_grace_us",
+        )
         _check(_number(self.cold_from) and 0 < self.cold_from <= 1, "cold_from", self.cold_from)
 
 
@@ -281,7 +292,7 @@
     token: str
 
 
-Event = (BackendList | Request | Inherited | Opened | Note | Outcome | ClientGone | ProbeResult | TimerFired)
+Event = BackendList | Request | Inherited | Opened | Note | Outcome | ClientGone | ProbeResult | TimerFired
 
 
 # Actions: what the relay is to do.
--- a/vanegw/passing.py
+++ b/vanegw/passing.py
@@ -23,11 +23,19 @@
 def learned(balancer: Balancer) -> list[dict[str, Any]]:
     hosts = list(balancer.backends.items())
     parts: list[dict[str, Any]] = [
-        {"hosts": {name: {"started_us": known.info.started_us} | {f: getattr(known, f) for f in FIGURES}
-                   for name, known in hosts[at:at + PART]}} for at in range(0, len(hosts), PART)]
+        {
+            "hosts": {
+                name: {"started_us": known.info.started_us} | {f: getattr(known, f) for f in FIGURES}
+                for name, known in hosts[at : at + PART]
+            }
+        }
+        for at in range(0, len(hosts), PART)
+    ]
     # Own sends and the clients that came: those of the next process come on top.
     own = {f: getattr(balancer, f) for f in OWN} | {
-        "warmed": balancer.warmed[-RECENT:], "arrivals": list(balancer.arrivals.items())[-RECENT:]}
+        "warmed": balancer.warmed[-RECENT:],
+        "arrivals": list(balancer.arrivals.items())[-RECENT:],
+    }
     return [*parts, {"own": own}]
 
 
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -87,9 +87,16 @@
         self.now = 0
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
-            api.BackendList: self._on_list, api.Request: self._on_request, api.Inherited: self._on_inherited,
-            api.Opened: self._on_opened, api.Note: self._on_note, api.Outcome: self._on_outcome,
-            api.ClientGone: self._on_gone, api.ProbeResult: self._on_probe, api.TimerFired: self._on_timer}
+            api.BackendList: self._on_list,
+            api.Request: self._on_request,
+            api.Inherited: self._on_inherited,
+            api.Opened: self._on_opened,
+            api.Note: self._on_note,
+            api.Outcome: self._on_outcome,
+            api.ClientGone: self._on_gone,
+            api.ProbeResult: self._on_probe,
+            api.TimerFired: self._on_timer,
+        }
 
     def reconfigure(self, settings: api.Settings) -> None:
         """New settings for what is decided from now on; what is open keeps its class as it was."""
@@ -467,8 +474,11 @@
     def _settle(self, flight: Flight) -> None:
         """The one final answer: a refusal where trying again is harmless, else a failure."""
         cls = flight.cls
-        harmless = (flight.ran_on is None or cls.effect is api.Effect.SAFE
-                    or (cls.effect is api.Effect.KEYED and cls.dedup_scope is Scope.ALL))
+        harmless = (
+            flight.ran_on is None
+            or cls.effect is api.Effect.SAFE
+            or (cls.effect is api.Effect.KEYED and cls.dedup_scope is Scope.ALL)
+        )
         self._drop(flight.request.id)
         # Never at once: what was in the way will not have gone, and a client has few tries.
         share = max(self.lateness, REST_SHARE * (0.5 + self.random.random()))
--- a/vanegw/witness.py
+++ b/vanegw/witness.py
@@ -111,8 +111,14 @@
         if self.watching:
             made = self.actions[-1]
             refused = isinstance(made, api.Refuse)
-            self._saw(flight, REFUSE if refused else FAIL, beliefs, None, None,
-                      made.retry_after_us if isinstance(made, api.Refuse) else None)
+            self._saw(
+                flight,
+                REFUSE if refused else FAIL,
+                beliefs,
+                None,
+                None,
+                made.retry_after_us if isinstance(made, api.Refuse) else None,
+            )
 
     def _reason(self, flight: Flight) -> str:
         """Why a request gets no (further) attempt, in a word for a counter."""
@@ -127,13 +133,15 @@
             return "no_host"
         return "cold" if not flight.warms and any(self._warmth(k) < 1 for k in running) else "full"
 
-    def _saw(self, flight: Flight, what: str, beliefs: list[Any], host: str | None,
-             until_us: int | None, wait_us: int | None) -> None:
+    def _saw(
+        self, flight: Flight, what: str, beliefs: list[Any], host: str | None, until_us: int | None, wait_us: int | None
+    ) -> None:
         tried = len(flight.tried) - (what == ATTEMPT)
         asked = flight.request
         why = RETRY if tried else RETURN if asked.is_return else AGAIN if asked.is_retry else FIRST
-        self.views.append(View(asked.id, what, why, tried, host, until_us, wait_us, self.average, self.lateness,
-                               beliefs))
+        self.views.append(
+            View(asked.id, what, why, tried, host, until_us, wait_us, self.average, self.lateness, beliefs)
+        )
 
     def _beliefs(self, flight: Flight) -> list[Any]:
         weights, loads, now, make, tried = self._weights, self._loads, self.now, self.belief, flight.tried
@@ -144,9 +152,19 @@
             if known is None:  # it left the list between the sample and the choice
                 continue
             weight, believed, info = weights.get(name), loads.get(name), known.info
-            found.append(make(
-                name, None if weight is None else (int(weight * scale + 0.5) or 1) / 1, known.load, known.load_at,
-                None if believed is None else rounded(believed, 100), len(known.placed),
-                1.0 if info.started_us is None else rounded(self._warmth(known), 100), now < known.suspect_until,
-                info.state is not State.RUNNING, known.probed_at is not None, name in tried))
+            found.append(
+                make(
+                    name,
+                    None if weight is None else (int(weight * scale + 0.5) or 1) / 1,
+                    known.load,
+                    known.load_at,
+                    None if believed is None else rounded(believed, 100),
+                    len(known.placed),
+                    1.0 if info.started_us is None else rounded(self._warmth(known), 100),
+                    now < known.suspect_until,
+                    info.state is not State.RUNNING,
+                    known.probed_at is not None,
+                    name in tried,
+                )
+            )
         return found
