--- a/bramblestile/lab/town.py
+++ b/bramblestile/lab/town.py
@@ -21,7 +21,7 @@
 
 from bramblestile.lab.faults import Between, Links
 from bramblestile.lab.record import Record
-from bramblestile.lab.streams import Stream
+from bramblestile.lab.streams import FaultyStream
 from bramblestile.sockets import Address
 
 LONGEST_WAIT = 0.5  # seconds in the list's queue, then 503
@@ -30,8 +30,8 @@
 GIVES_UP = 1.8
 LIST, CLIENTS = "list", "clients"  # as faults on links name them
 DOOR_PORT = 10_000
-Reader = asyncio.StreamReader | Stream
-Writer = asyncio.StreamWriter | Stream
+Reader = asyncio.StreamReader | FaultyStream
+Writer = asyncio.StreamWriter | FaultyStream
 LOOKS_EVERY = 0.1
 ASKS_EVERY = 0.1  # the front's PING, as the platform's page has it
 
@@ -112,7 +112,7 @@
         self.calls = self.calls_refused = 0
         self._pace, self._listed = pace, listed
         self._links, self._doors = links or Links(Random(0)), doors or {}
-        self._streams: set[Stream] = set()
+        self._streams: set[FaultyStream] = set()
         self.names: dict[Address, str] = {}  # of the balancers, by where clients find them
         self.waits: list[float] = []  # seconds from a client's first line to its UP
         self.gaps: list[float] = []  # seconds without a connection, after a move or a cut
@@ -248,7 +248,7 @@
         """What serves a connection of one balancer over a link that may have faults."""
 
         async def opened(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            stream = Stream(self._links, near, far, reader, writer)
+            stream = FaultyStream(self._links, near, far, reader, writer)
             self._streams.add(stream)
             try:
                 await serve(stream, stream, far)
@@ -259,7 +259,7 @@
 
     async def reset(self, between: Between) -> int:
         """Ends all connections over these links with a reset; how many."""
-        ended = [s for s in self._streams if between(s.near, s.far) or between(s.far, s.near)]
+        ended = [s for s in self._streams if between(s.stand_in, s.process) or between(s.process, s.stand_in)]
         for stream in ended:
             stream.reset()
         return len(ended)
