--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -19,15 +19,15 @@
 from bramblestile.fleet.suspicion import Suspicion
 from bramblestile.fleet.telling import Telling
 from bramblestile.fleet.trips import Trips
-from bramblestile.lab.drawn import BrokenError, Drawn
-from bramblestile.lab.simulated import Simulation
+from bramblestile.lab.membership_simulation import MembershipSimulation
+from bramblestile.lab.random_faults import InvariantError, RandomFaultRun
 
 S = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
 
 
-def made(count: int, seed: int = 1) -> tuple[Simulation, list[str]]:
-    sim = Simulation(seed)
+def made(count: int, seed: int = 1) -> tuple[MembershipSimulation, list[str]]:
+    sim = MembershipSimulation(seed)
     names = sim.fleet(count)
     assert sim.agreed()
     sim.run(5 * S)
@@ -35,7 +35,7 @@
     return sim, names
 
 
-def deaths(sim: Simulation, but: str = "") -> list[tuple[str, str]]:
+def deaths(sim: MembershipSimulation, but: str = "") -> list[tuple[str, str]]:
     return [(viewer, c.name) for _, viewer, c in sim.changes if c.after is State.DEAD and c.name != but]
 
 
@@ -59,32 +59,32 @@
 
 def test_starved_members_and_loss_kill_nobody() -> None:
     sim, names = made(30)
-    sim.network.loss = 0.05
+    sim.network.loss_rate = 0.05
     for name in names[4:8]:
-        sim.by_name[name].share = 0.1
+        sim.by_name[name].cpu_share = 0.1
     sim.run(60 * S)
     assert not deaths(sim)
 
 
 def test_one_who_hears_nothing_accuses_everybody_and_is_not_believed() -> None:
     sim, names = made(30)
-    sim.network.cuts["in"] = lambda a, b: b == names[5]
+    sim.network.drop_rules["in"] = lambda a, b: b == names[5]
     sim.run(20 * S)
     assert not [d for d in deaths(sim, names[5]) if d[0] != names[5]]
-    sim.network.cuts.clear()
+    sim.network.drop_rules.clear()
     assert sim.until(sim.agreed, 20 * S) < 5 * S
 
 
 def test_a_link_that_works_one_way_is_walked_round() -> None:
     sim, names = made(12)
-    sim.network.cuts["one way"] = lambda a, b: (a, b) == (names[2], names[3])
+    sim.network.drop_rules["one way"] = lambda a, b: (a, b) == (names[2], names[3])
     sim.run(30 * S)
     assert not deaths(sim)
 
 
 def test_loss_of_a_third_kills_nobody_and_hides_nobodys_death() -> None:
     sim, names = made(20)
-    sim.network.loss = 0.3
+    sim.network.loss_rate = 0.3
     sim.run(30 * S)
     assert not deaths(sim)
     sim.kill(names[7])
@@ -94,12 +94,12 @@
 def test_two_halves_agree_each_on_itself_and_heal() -> None:
     sim, names = made(24)
     half = set(names[:12])
-    sim.network.cuts["split"] = lambda a, b: (a in half) != (b in half)
+    sim.network.drop_rules["split"] = lambda a, b: (a in half) != (b in half)
     sim.run(8 * S)
     assert all(
         {f.name for f in p.members.living()} == (half if p.name in half else set(names) - half) for p in sim.living()
     )
-    sim.network.cuts.clear()
+    sim.network.drop_rules.clear()
     assert sim.until(sim.agreed, 20 * S) < 5 * S
 
 
@@ -148,7 +148,7 @@
 def test_a_leaver_is_gone_at_once() -> None:
     sim, names = made(20)
     process = sim.by_name[names[5]]
-    sim._send(process, process.members.leave(sim.at))
+    sim._send(process, process.members.leave(sim.now))
     process.running = False
     assert sim.until(sim.agreed, 5 * S) < 0.6 * S
     assert not deaths(sim)
@@ -175,26 +175,26 @@
 def test_entries_reach_all_and_end_with_their_time_or_their_owner() -> None:
     sim, names = made(20)
     owner = sim.by_name[names[2]].members
-    owner.tell("traffic", b"old", 60 * S, sim.at)
-    owner.tell("traffic", b"7", 4 * S, sim.at)
+    owner.tell("traffic", b"old", 60 * S, sim.now)
+    owner.tell("traffic", b"7", 4 * S, sim.now)
     sim.run(2 * S)
-    assert {p.members.board.get(names[2], "traffic", sim.at) for p in sim.living()} == {b"7"}
+    assert {p.members.board.get(names[2], "traffic", sim.now) for p in sim.living()} == {b"7"}
     late = sim.start("late", seeds=names[:3])
     sim.run(S)
-    assert late.members.board.get(names[2], "traffic", sim.at) == b"7"
+    assert late.members.board.get(names[2], "traffic", sim.now) == b"7"
     sim.run(2 * S)
-    assert {p.members.board.get(names[2], "traffic", sim.at) for p in sim.living()} == {None}
-    owner.tell("traffic", b"9", 60 * S, sim.at)
+    assert {p.members.board.get(names[2], "traffic", sim.now) for p in sim.living()} == {None}
+    owner.tell("traffic", b"9", 60 * S, sim.now)
     sim.run(S)
     sim.kill(names[2])
     sim.start(names[2], seeds=names[:3])
     sim.run(3 * S)
-    assert {p.members.board.get(names[2], "traffic", sim.at) for p in sim.living()} == {None}
+    assert {p.members.board.get(names[2], "traffic", sim.now) for p in sim.living()} == {None}
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_drawn_faults(seed: int) -> None:
-    Drawn(seed, most=14).play()
+    RandomFaultRun(seed, max_size=14).run_scenario()
 
 
 def never_contradicts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,9 +237,9 @@
     bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         for seed in range(100):
-            Drawn(seed, most=20).play()
+            RandomFaultRun(seed, max_size=20).run_scenario()
 
 
 def test_who_did_not_run_judges_nobody() -> None:
@@ -334,7 +334,7 @@
     """Each of 40 has its core for a tenth of the time, all at once: late answers are no silence."""
     sim, _ = made(40)
     for process in sim.living():
-        process.share = 0.1
+        process.cpu_share = 0.1
     sim.run(10 * S)  # until they have seen how slow they are
     sim.changes.clear()
     sim.run(30 * S)
@@ -402,7 +402,7 @@
     shorter = msgspec.msgpack.encode(["p", ["n", "127.0.0.1", 7, 5]])
     assert decoded(shorter) == Message("p", Fact("n", "127.0.0.1", 7, 5))
     sim, names = made(3)
-    assert sim.by_name[names[0]].members.hear(Message("unheard-of", fact), ("127.0.0.1", 7), sim.at) == []
+    assert sim.by_name[names[0]].members.hear(Message("unheard-of", fact), ("127.0.0.1", 7), sim.now) == []
 
 
 @given(st.binary(max_size=300))
