--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -19,7 +19,7 @@
 from bramblestile.lab.stage import SETTINGS, Stage
 from bramblestile.lab.town import Town
 from bramblestile.lab.worksite import Worksite, town_of
-from bramblestile.work.planner import ROOM, WARM
+from bramblestile.work.planner import MAX_UTILISATION, WARM_THRESHOLD
 
 COLD_S, AWAY_S = 4.0, 0.5
 LOOKS_ON = 0.2  # seconds that the worksite looks at a machine that is out before it takes it down
@@ -29,7 +29,7 @@
 def shortest(machines: int, missing: float) -> float:
     """Seconds that so many machines need when as many as ``missing`` may be missing at a time, cold ones in part, and
     each goes the moment it may: left within 2 s, away, warm again. No step takes time, no client needs room."""
-    out, warm, step = 2.0 + AWAY_S + LOOKS_ON, COLD_S * (WARM - 0.2) / 0.8, 0.01
+    out, warm, step = 2.0 + AWAY_S + LOOKS_ON, COLD_S * (WARM_THRESHOLD - 0.2) / 0.8, 0.01
     starts: list[float] = []
     at = 0.0
 
@@ -136,7 +136,7 @@
         f"fallen over: {sum(host.fallen for host in town.hosts.values())}",
         flush=True,
     )
-    missing = given.servers * min(1 - given.least, 1 - given.load / ROOM)
+    missing = given.servers * min(1 - given.least, 1 - given.load / MAX_UTILISATION)
     least = shortest(given.servers, min(float(given.most), missing))
     print(f"  at most {missing:.1f} missing at a time; shortest with that {least:.1f} s: {took / least:.2f} times")
     if given.keep:
--- a/bramblestile/lab/script.py
+++ b/bramblestile/lab/script.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bramblestile.work.order import Stage
+from bramblestile.work.plan_state import Stage
 
 KINDS = (
     "pause",
--- a/bramblestile/lab/worksite.py
+++ b/bramblestile/lab/worksite.py
@@ -17,7 +17,7 @@
 
 from bramblestile.lab.stage import FailedError, Stage
 from bramblestile.lab.town import Town
-from bramblestile.work.plan import BALANCER
+from bramblestile.work.plan import BALANCER_PREFIX
 
 LOOKS_EVERY = 0.05
 ON_THE_WAY = ("leaving", "empty", "out", "back", "held")
@@ -142,9 +142,9 @@
     def _work(self, name: str) -> None:
         if name in self.lazy:
             return
-        if name.startswith(BALANCER):
+        if name.startswith(BALANCER_PREFIX):
             self._stopped.wait(0.2)
-            self.stage.programs[name.removeprefix(BALANCER)].restart()
+            self.stage.programs[name.removeprefix(BALANCER_PREFIX)].restart()
         else:
             self._renew(name)
         while not self._stopped.is_set():
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -50,8 +50,8 @@
     from bramblestile.store.service import Store
     from bramblestile.trace.recorder import Recorder
     from bramblestile.wire.peers import Peers
-    from bramblestile.work.office import Bound, Office
-    from bramblestile.work.planner import Seen
+    from bramblestile.work.planner import MachineView
+    from bramblestile.work.service import MaintenanceService, RoutingConstraints
 
 STACK = 192 * 1024  # bytes; two threads for each standing connection must fit the memory limit
 STILL_COMING = timedelta(milliseconds=600)  # after SIGTERM the front goes on sending for up to 0.4 s
@@ -97,13 +97,13 @@
     )
 
 
-def make_office(plan: WorkConfig, daemon: Daemon, gossip: Gossip, config: Config) -> Office:
+def make_maintenance(plan: WorkConfig, daemon: Daemon, gossip: Gossip, config: Config) -> MaintenanceService:
     from bramblestile.store.journal import JournalError
-    from bramblestile.work import office
+    from bramblestile.work import service
 
     assert config.fleet is not None and config.management is not None
     try:
-        return office.Office(
+        return service.MaintenanceService(
             config.fleet.name,
             plan.voters,
             plan.directory,
@@ -178,14 +178,14 @@
             if config.fleet is None
             else make_gossip(config.fleet, self.counters, patient=config.inherited is not None)
         )
-        self.office: Office | None = None
-        self._bound: Bound | None = None
+        self.maintenance: MaintenanceService | None = None
+        self._constraints: RoutingConstraints | None = None
         if self.gossip is not None:
             self.gossip.figures = self._figures
             if config.work is not None:
-                self.office = make_office(config.work, self, self.gossip, config)
+                self.maintenance = make_maintenance(config.work, self, self.gossip, config)
                 for front in self.fronts:
-                    front.cluster.may = self.office.allows
+                    front.cluster.may = self.maintenance.allows
         if self.lines is not None and config.inherited is not None:
             try:
                 self.lines.inherited = take_over(config.inherited)
@@ -216,8 +216,8 @@
             front.start()
         if self.gossip is not None:
             self.gossip.start()
-        if self.office is not None:
-            self.office.start()
+        if self.maintenance is not None:
+            self.maintenance.start()
         threading.Thread(target=self._become_ready, name="ready", daemon=True).start()
         if self.config.store is not None and self.store is not None and self.peers is not None:
             self._start_store(self.config.store, self.store, self.peers)
@@ -239,8 +239,8 @@
             self._take_from_inherited()
         for front in self.fronts:
             front.heard.wait(max(NOTHING, until - now()).total_seconds())
-        if self.office is not None:  # or it might send where nobody else does
-            self.office.first_word.wait(max(NOTHING, until - now()).total_seconds())
+        if self.maintenance is not None:  # or it might send where nobody else does
+            self.maintenance.first_reply.wait(max(NOTHING, until - now()).total_seconds())
         if self.succession is not None:
             self.succession.wait_for_learned(RECALL_WITHIN)
         with self._recalling:  # only now: what it tells of hosts holds for those that are listed
@@ -294,21 +294,26 @@
 
     def _obey(self, orders: Orders) -> None:
         """The clusters first: they are asked at every send. The module hears of it in the orders' own thread."""
-        bound = self._bound
-        closed, back, lean, left = (
+        constraints = self._constraints
+        closed_hosts, back, weight_factors, draining_since = (
             (orders.suspended, orders.back, None, {})
-            if bound is None
-            else (bound.closed | orders.suspended.keys(), {**orders.back, **bound.back}, bound.lean, bound.left)
+            if constraints is None
+            else (
+                constraints.closed_hosts | orders.suspended.keys(),
+                {**orders.back, **constraints.returned_at},
+                constraints.weight_factors,
+                constraints.draining_since,
+            )
         )
-        changed = [(front, front.cluster.obey(closed, back, lean)) for front in self.fronts]
-        drained = orders.drained or (bound is not None and bound.drained)
+        changed = [(front, front.cluster.obey(closed_hosts, back, weight_factors)) for front in self.fronts]
+        drained = orders.drained or (constraints is not None and constraints.drain_self)
         if drained != (self._drained_since is not None):
             self._drained_since = now() if drained else None
             for front in self.fronts:
                 front.away = drained
         plans: dict[tuple[str | None, timedelta], Evacuation] = {
             (host, since): Evacuation(since + LEFT_FROM, since + LEFT_BY)
-            for host, since in {**left, **orders.suspended}.items()
+            for host, since in {**draining_since, **orders.suspended}.items()
         }
         if self._drained_since is not None:
             began = self._drained_since
@@ -431,18 +436,18 @@
     def hosts(self) -> list[str]:
         return [host.id for front in self.fronts for host in front.cluster.hosts()]
 
-    def all_standing(self) -> int:
+    def connection_count(self) -> int:
         return len(self._standing())
 
-    def standing(self, hosts: Iterable[str]) -> dict[str, int]:
+    def connections(self, hosts: Iterable[str]) -> dict[str, int]:
         wanted, found = set(hosts), dict[str, int]()
         for one in self._standing():
             if one.host in wanted:
                 found[one.host] = found.get(one.host, 0) + 1
         return found
 
-    def seen(self) -> dict[str, Seen]:
-        from bramblestile.work.planner import Seen
+    def machine_views(self) -> dict[str, MachineView]:
+        from bramblestile.work.planner import MachineView
 
         found = {}
         for front in self.fronts:
@@ -450,17 +455,17 @@
             for host in front.cluster.listed():
                 load, masked = figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
-                found[host.id] = Seen(
+                found[host.id] = MachineView(
                     host.zone,
                     host.weight,
                     front.warmth(host),
                     running,
                     load=(load or 0.0) * host.weight * front.warmth(host),
-                    soon=front.warmth(host, LEFT_MEAN),
+                    expected_warmth=front.warmth(host, LEFT_MEAN),
                 )
         return found
 
-    def look(self, hosts: Iterable[str]) -> None:
+    def probe_loads(self, hosts: Iterable[str]) -> None:
         wanted = set(hosts)
         for front in self.fronts:
             if front.config.settings.may_probe and front.config.settings.reports_load:
@@ -468,22 +473,22 @@
                     if host.id in wanted and host.state is State.RUNNING:
                         front.probes.ask(host.id, beside=False)
 
-    def by_hand(self) -> list[str]:
+    def suspended_hosts(self) -> list[str]:
         return sorted(self.kept.orders.suspended)
 
-    def bind(self, bound: Bound) -> None:
+    def apply_constraints(self, constraints: RoutingConstraints) -> None:
         with self._ordering:
-            self._bound = bound
+            self._constraints = constraints
             self._obey(self.kept.orders)
 
     def work(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
         """Asked of the leader, wherever it is. What is returned is asked over and over and waits for nothing."""
-        office = self.office
-        if office is None:
+        maintenance = self.maintenance
+        if maintenance is None:
             return None
-        at = office.leader_at()
+        at = maintenance.leader_address()
         if at is None:
-            asked = office.ask(verb, text)
+            asked = maintenance.submit(verb, text)
             return lambda: asked.answer
         answer: list[tuple[int, str]] = []
 
@@ -519,8 +524,8 @@
         returns in time."""
         began = now()
         self.stop_store()
-        if self.office is not None:
-            self.office.stop()
+        if self.maintenance is not None:
+            self.maintenance.stop()
         if self.gossip is not None:
             self.gossip.stop()
         self.leaving = True  # said at once; what still comes is taken
--- a/bramblestile/work/__init__.py
+++ b/bramblestile/work/__init__.py
@@ -1,2 +1,4 @@
-"""The order of work: machines leave and come back in an order that the balancers settle among themselves. Loaded only
-where a ``work`` table is configured. Why so: docs/design/work.md."""
+"""Rolling maintenance: machines leave service and return in an order that the balancers agree on.
+
+Loaded only where the configuration has a ``work`` table. The design is described in docs/design/work.md.
+"""
--- a/bramblestile/work/planner.py
+++ b/bramblestile/work/planner.py
@@ -1,92 +1,109 @@
-"""Which machine next, or none and why. No I/O, no time: the fleet as it is seen goes in, a choice comes out."""
+"""Decides which machine leaves next, or why none may. Pure functions of the plan and of the fleet as it is seen."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from bramblestile.work.order import ON_THE_WAY, OVER, Machine, Order, Stage, Status
-from bramblestile.work.plan import BALANCER, Asked, PlanError
+from bramblestile.work.plan import BALANCER_PREFIX, PlanError, PlanRequest
+from bramblestile.work.plan_state import FINAL_STAGES, IN_PROGRESS_STAGES, Machine, PlanState, Stage, Status
 from vanegw.rules import FULL_LOAD
 
-AHEAD = 2  # times ``most_out`` machines are announced beyond those that have begun
-SHARE_OF_TAIL = 0.05  # of the machines of a plan that covers the whole fleet: the refuge of those that are cut off
-WARM = 0.9  # of its capacity: from there on a machine is no longer cold
-ROOM_FOR_NAMES = 700  # bytes, in one answer to a balancer
-# The part of the clients that may be moved a second time: those of the first machines, which have nowhere to go but to
-# machines whose turn is still to come.
-FIRST = 0.08
-# Of the capacity that stays: the clients must go into it. At FULL_LOAD the balancers place nothing and refuse. Seen
-# with 0.85: 28 to 99 of 360 clients refused.
-ROOM = FULL_LOAD - 0.02
+ANNOUNCE_FACTOR = 2  # machines announced beyond those that have begun, as a multiple of ``max_out``
+FALLBACK_SHARE = 0.05  # of the fleet's machines, if the plan covers all of them
+WARM_THRESHOLD = 0.9  # share of its capacity from which on a machine is no longer cold
+MAX_NAMES_BYTES = 700  # all machine names in one reply to a balancer
+# Share of the machines that may leave although their clients find no lasting place: the clients of the first machines
+# can only go to machines whose turn is still to come, and are moved a second time.
+EARLY_SHARE = 0.08
+# Highest load of the remaining capacity after a machine has left. At FULL_LOAD the balancers place nothing and refuse
+# clients; with 0.85 they refused 28 to 99 of 360 clients.
+MAX_UTILISATION = FULL_LOAD - 0.02
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """A machine as the leader sees it. ``up``: in service by the list, and not failing by itself; ``by_hand``: an
-    operator has taken it out; ``load``: what its connections ask, in the measure of ``capacity``. ``soon``: its warmth
-    when the clients of a machine that leaves now come; None: as it is now. A balancer is a machine of capacity 1."""
+class MachineView:
+    """A machine as the leader sees it. A balancer counts as a machine of capacity 1.
+
+    Attributes:
+        hall: The hall that it stands in.
+        capacity: Its capacity when warm.
+        warmth: The share of its capacity that it has now.
+        up: Whether it is listed as in service and is not failing.
+        suspended: Whether an operator has suspended it.
+        load: Demand of its connections, in the unit of ``capacity``.
+        expected_warmth: Its warmth by the time that the clients of a machine that leaves now arrive; None: unchanged.
+        is_voter: Whether it is a balancer that votes on the replicated state.
+        is_leader: Whether it is the balancer that leads.
+    """
 
     hall: str = ""
     capacity: float = 1.0
     warmth: float = 1.0
     up: bool = True
-    by_hand: bool = False
+    suspended: bool = False
     load: float = 0.0
-    soon: float | None = None
-    votes: bool = False  # a balancer: it keeps the agreement
-    leads: bool = False
+    expected_warmth: float | None = None
+    is_voter: bool = False
+    is_leader: bool = False
 
-    def room(self, now: bool = False) -> float:
-        """For clients now, or by the time that those of a machine that leaves now come."""
-        warmth = self.warmth if now or self.soon is None else self.soon
-        return max(0.0, ROOM * self.capacity * warmth - self.load)
+    def headroom(self, immediate: bool = False) -> float:
+        """Return the capacity left for clients by the time that those of a machine that leaves now arrive.
 
+        With ``immediate``, return what is left now.
+        """
+        warmth = self.warmth if immediate or self.expected_warmth is None else self.expected_warmth
+        return max(0.0, MAX_UTILISATION * self.capacity * warmth - self.load)
 
-Fleet = Mapping[str, Seen]
+
+Fleet = Mapping[str, MachineView]
 
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """``name`` None: none now, and ``why``."""
+    """The machine that may leave now; ``name`` is None if none may, and ``block_reason`` says why."""
 
     name: str | None
-    why: str = ""
+    block_reason: str = ""
+
 
+def order_machines(request: PlanRequest, fleet: Fleet) -> tuple[tuple[str, ...], int]:
+    """Return the order in which the machines leave, and how many of the last ones are the fallback.
 
-def settle(asked: Asked, fleet: Fleet) -> tuple[tuple[str, ...], int]:
-    """The order, and how many of its end are the refuge. PlanError where the plan cannot keep its own limits.
+    Halls follow one another, the one with the least load first, and so do the machines of a hall: the clients of the
+    first machines can only go to machines whose turn is still to come, so there should be few of them. Balancers that
+    vote go last, and the leader last of all.
 
-    One hall after the other, the hall with the least load first, and in it the machines with the least load first: the
-    clients of the first ones have nowhere to go but to machines whose turn is still to come, so these should be few.
-    Balancers that keep the agreement go last, and the one that leads last of all."""
-    total = sum(seen.capacity for seen in fleet.values())
-    voters = sum(seen.votes for seen in fleet.values())
-    for name in asked.machines:
-        if name not in fleet and asked.of_balancers:
-            raise PlanError(f"balancers: {name.removeprefix(BALANCER)}: no balancer of this name takes part")
+    Raises:
+        PlanError: The plan names an unknown machine or cannot keep its own limits.
+    """
+    total = sum(view.capacity for view in fleet.values())
+    voters = sum(view.is_voter for view in fleet.values())
+    for name in request.machines:
+        if name not in fleet and request.targets_balancers:
+            raise PlanError(f"balancers: {name.removeprefix(BALANCER_PREFIX)}: no balancer of this name takes part")
         if name not in fleet:
             raise PlanError(f"machines: {name}: no image server of this name is listed")
-        if fleet[name].votes and voters < 3:
+        if fleet[name].is_voter and voters < 3:
             raise PlanError(
-                f"balancers: {name.removeprefix(BALANCER)} keeps the agreement, and without it no majority does"
+                f"balancers: {name.removeprefix(BALANCER_PREFIX)} is a voter, and without it there is no majority"
             )
-        stays = total - fleet[name].capacity
-        if stays < asked.limits.least * total - 1e-9:
+        remaining = total - fleet[name].capacity
+        if remaining < request.limits.min_capacity * total - 1e-9:
             raise PlanError(
-                f"least_capacity: without {name} there is {stays / total:.0%} left, and "
-                f"{asked.limits.least:.0%} must stay"
+                f"least_capacity: without {name} there is {remaining / total:.0%} left, and "
+                f"{request.limits.min_capacity:.0%} must stay"
             )
-    of_hall: dict[str, float] = {}
-    for name in asked.machines:
-        of_hall[fleet[name].hall] = of_hall.get(fleet[name].hall, 0.0) + fleet[name].load
+    hall_load: dict[str, float] = {}
+    for name in request.machines:
+        hall_load[fleet[name].hall] = hall_load.get(fleet[name].hall, 0.0) + fleet[name].load
     names = tuple(
         sorted(
-            asked.machines,
+            request.machines,
             key=lambda n: (
-                fleet[n].leads,
-                fleet[n].votes,
-                of_hall[fleet[n].hall],
+                fleet[n].is_leader,
+                fleet[n].is_voter,
+                hall_load[fleet[n].hall],
                 fleet[n].hall,
                 fleet[n].load,
                 fleet[n].capacity,
@@ -94,162 +111,181 @@
             ),
         )
     )
-    outside = len(fleet) - len(names)
-    tail = 0 if asked.of_balancers else min(len(names), max(0, max(1, round(SHARE_OF_TAIL * len(fleet))) - outside))
-    longest = sorted((len(name.encode()) for name in names), reverse=True)
-    told = (AHEAD + 1) * asked.limits.most_out + tail
-    if sum(longest[:told]) + 3 * told > ROOM_FOR_NAMES:
-        raise PlanError(f"most_out: the names of {told} machines do not go into one datagram")
-    return names, tail
-
-
-def out_now(order: Order, fleet: Fleet) -> dict[str, float]:
-    """Machines that are not all there, each with the part that is missing: on their way, cold, failed by themselves,
-    or taken out by hand."""
-    found = {}
-    for name, seen in fleet.items():
-        machine = order.machines.get(name)
-        on_way = machine is not None and order.is_on and machine.stage in ON_THE_WAY
-        if on_way or not seen.up or seen.by_hand:
-            found[name] = 1.0
-        elif seen.warmth < WARM:
-            found[name] = 1 - seen.warmth
-    for machine in order.machines.values():
-        if order.is_on and machine.name not in fleet and machine.stage not in OVER:
-            found[machine.name] = 1.0  # no longer listed
-    return found
-
-
-def choose(order: Order, fleet: Fleet, away: float = 0.0) -> Choice:
-    """Of those whose turn has been announced. ``away``: the load of clients that have been sent away or cut and are not
-    back yet: it is on no machine now, and will be."""
-    if order.status is not Status.RUNNING:
-        return Choice(None, f"the plan is {order.status}")
-    waiting = [m for m in _by_rank(order) if m.stage is Stage.CLAIMED]
-    if not waiting:
-        return Choice(None, "none is left whose turn has been announced")
-    missing = out_now(order, fleet)
-    on_way = [m.name for m in order.machines.values() if m.stage in ON_THE_WAY]
-    if len(on_way) >= order.limits.most_out:
-        return Choice(None, f"{', '.join(sorted(on_way))} on their way, {order.limits.most_out} at once")
-    why = ""
-    for machine in waiting:
+    unaffected = len(fleet) - len(names)
+    fallback_count = (
+        0
+        if request.targets_balancers
+        else min(len(names), max(0, max(1, round(FALLBACK_SHARE * len(fleet))) - unaffected))
+    )
+    name_sizes = sorted((len(name.encode()) for name in names), reverse=True)
+    sent_count = (ANNOUNCE_FACTOR + 1) * request.limits.max_out + fallback_count
+    if sum(name_sizes[:sent_count]) + 3 * sent_count > MAX_NAMES_BYTES:
+        raise PlanError(f"most_out: the names of {sent_count} machines do not fit in one datagram")
+    return names, fallback_count
+
+
+def missing_capacity(plan: PlanState, fleet: Fleet) -> dict[str, float]:
+    """Return the machines that are not fully available, each with the share of its capacity that is missing.
+
+    These are machines in progress, cold, failing, suspended by an operator, or no longer listed.
+    """
+    missing = {}
+    for name, view in fleet.items():
+        machine = plan.machines.get(name)
+        in_progress = machine is not None and plan.is_active and machine.stage in IN_PROGRESS_STAGES
+        if in_progress or not view.up or view.suspended:
+            missing[name] = 1.0
+        elif view.warmth < WARM_THRESHOLD:
+            missing[name] = 1 - view.warmth
+    for machine in plan.machines.values():
+        if plan.is_active and machine.name not in fleet and machine.stage not in FINAL_STAGES:
+            missing[machine.name] = 1.0  # no longer listed
+    return missing
+
+
+def choose_next(plan: PlanState, fleet: Fleet, displaced_load: float = 0.0) -> Choice:
+    """Choose the next machine to leave from those whose turn has been announced.
+
+    ``displaced_load`` is the load of clients that were sent away or cut off and have not reconnected yet: no machine
+    carries it now, but some machine will.
+    """
+    if plan.status is not Status.RUNNING:
+        return Choice(None, f"the plan is {plan.status}")
+    candidates = [m for m in _by_rank(plan) if m.stage is Stage.CLAIMED]
+    if not candidates:
+        return Choice(None, "no machine is left whose turn has been announced")
+    missing = missing_capacity(plan, fleet)
+    in_progress = [m.name for m in plan.machines.values() if m.stage in IN_PROGRESS_STAGES]
+    if len(in_progress) >= plan.limits.max_out:
+        return Choice(None, f"{', '.join(sorted(in_progress))} in progress, at most {plan.limits.max_out} at once")
+    first_reason = ""
+    for machine in candidates:
         name = machine.name
-        reason = (
-            not_yet(name, order, fleet)
-            or why_not(name, order, fleet, missing)
-            or too_full(name, fleet, missing, away)
-            or no_room(name, order, fleet, away)
+        block_reason = (
+            quorum_block(name, plan, fleet)
+            or limit_block(name, plan, fleet, missing)
+            or capacity_block(name, fleet, missing, displaced_load)
+            or headroom_block(name, plan, fleet, displaced_load)
         )
-        if not reason:
+        if not block_reason:
             return Choice(name)
-        why = why or reason
-    return Choice(None, why)
+        first_reason = first_reason or block_reason
+    return Choice(None, first_reason)
 
 
-def not_yet(name: str, order: Order, fleet: Fleet) -> str:
-    """Empty where the agreement goes on without this balancer, if it keeps it."""
-    seen = fleet.get(name)
-    if seen is None or not seen.votes:
+def quorum_block(name: str, plan: PlanState, fleet: Fleet) -> str:
+    """Return why this balancer must stay for the voters to keep a majority and a leader; empty if it may leave."""
+    view = fleet.get(name)
+    if view is None or not view.is_voter:
         return ""
-    voters = [n for n, other in fleet.items() if other.votes]
+    voters = [n for n, other in fleet.items() if other.is_voter]
     others = [
         n
         for n in voters
-        if n != name and fleet[n].up and (n not in order.machines or order.machines[n].stage not in ON_THE_WAY)
+        if n != name and fleet[n].up and (n not in plan.machines or plan.machines[n].stage not in IN_PROGRESS_STAGES)
     ]
     if 2 * len(others) <= len(voters):
-        return f"without {name} no majority would keep the agreement"
-    if seen.leads and any(m.stage in (Stage.WAITING, Stage.CLAIMED) for n, m in order.machines.items() if n != name):
+        return f"without {name} no majority of the voters would be left"
+    if view.is_leader and any(m.stage in (Stage.WAITING, Stage.CLAIMED) for n, m in plan.machines.items() if n != name):
         return f"{name} leads, and goes last"
     return ""
 
 
-def why_not(name: str, order: Order, fleet: Fleet, missing: Mapping[str, float]) -> str:
-    """Empty where the plan's own limits let it leave now."""
-    limits, seen = order.limits, fleet.get(name)
-    if seen is None:
+def limit_block(name: str, plan: PlanState, fleet: Fleet, missing: Mapping[str, float]) -> str:
+    """Return which of the plan's limits keeps this machine from leaving now; empty if none does."""
+    limits, view = plan.limits, fleet.get(name)
+    if view is None:
         return f"{name} is not listed"
-    if name in missing and (not seen.up or seen.by_hand):
-        return f"{name} is {'out by hand' if seen.by_hand else 'failing by itself'}"
-    others = {n: part for n, part in missing.items() if n != name}
-    if sum(others.values()) > limits.most_out - 1 + 1e-9:
-        return f"{_few(others)} missing already, {limits.most_out} at once"
-    if limits.apart:
+    if name in missing and (not view.up or view.suspended):
+        return f"{name} is {'suspended by an operator' if view.suspended else 'not in service'}"
+    others = {n: share for n, share in missing.items() if n != name}
+    if sum(others.values()) > limits.max_out - 1 + 1e-9:
+        return f"{_abbreviated(others)} missing already, at most {limits.max_out} at once"
+    if limits.single_hall:
         elsewhere = sorted(
-            n for n, part in others.items() if part >= 1 - WARM and n in fleet and fleet[n].hall != seen.hall
+            n
+            for n, share in others.items()
+            if share >= 1 - WARM_THRESHOLD and n in fleet and fleet[n].hall != view.hall
         )
         if elsewhere:
-            return f"{_few(elsewhere)} of another hall missing already"
-    total, stays = sum(s.capacity for s in fleet.values()), _stays(name, fleet, missing)
-    if stays < limits.least * total - 1e-9:
-        return f"without {name} {stays / total:.0%} of the capacity would be left, {limits.least:.0%} must stay"
+            return f"{_abbreviated(elsewhere)} of another hall missing already"
+    total, remaining = sum(v.capacity for v in fleet.values()), _remaining_capacity(name, fleet, missing)
+    if remaining < limits.min_capacity * total - 1e-9:
+        return (
+            f"without {name} {remaining / total:.0%} of the capacity would be left, {limits.min_capacity:.0%} must stay"
+        )
     return ""
 
 
-def _stays(name: str, fleet: Fleet, missing: Mapping[str, float]) -> float:
-    return sum(s.capacity * (1 - missing.get(n, 0.0)) for n, s in fleet.items() if n != name)
+def _remaining_capacity(name: str, fleet: Fleet, missing: Mapping[str, float]) -> float:
+    return sum(v.capacity * (1 - missing.get(n, 0.0)) for n, v in fleet.items() if n != name)
+
 
+def capacity_block(name: str, fleet: Fleet, missing: Mapping[str, float], displaced_load: float = 0.0) -> str:
+    """Return why the remaining machines cannot take all clients; empty if they can.
 
-def too_full(name: str, fleet: Fleet, missing: Mapping[str, float], away: float = 0.0) -> str:
-    """Empty where all clients go into what stays without it. Asked before it leaves, not when its clients have left:
-    then it would come back for a figure that is a little higher, and they would have gone for nothing."""
-    load, stays = away + sum(s.load for s in fleet.values()), _stays(name, fleet, missing)
-    if load <= ROOM * stays:
+    This is checked before the machine leaves and not after its clients have been moved: a load that rose slightly in
+    between would bring the machine back, and its clients would have been moved for nothing.
+    """
+    load, remaining = displaced_load + sum(v.load for v in fleet.values()), _remaining_capacity(name, fleet, missing)
+    if load <= MAX_UTILISATION * remaining:
         return ""
-    return f"without {name} the clients would fill {load / max(stays, 1e-9):.0%} of what is left"
+    return f"without {name} the clients would fill {load / max(remaining, 1e-9):.0%} of what is left"
+
 
+def headroom_block(name: str, plan: PlanState, fleet: Fleet, displaced_load: float = 0.0) -> str:
+    """Return why this machine's clients find no lasting place; empty if they do, or if the machine leaves regardless.
 
-def no_room(name: str, order: Order, fleet: Fleet, away: float = 0.0) -> str:
-    """Empty where its clients find room with those that are left for good: machines whose turn is over, or never comes.
-    Else they are moved twice. The first few have to go all the same, and one where waiting changes nothing. Seen: six
-    of 40 at once from the beginning moved 1.15 times a client, as the clients of the first six had nowhere else to
-    go."""
-    stages = [m.stage for m in order.machines.values()]
+    A lasting place is a machine whose turn is over or never comes; clients moved elsewhere are moved twice. The first
+    few machines leave regardless, and so does any machine when waiting would change nothing. Without this rule six of
+    40 machines left at once from the start and moved each client 1.15 times on average, as the clients of the first six
+    had nowhere else to go.
+    """
+    stages = [m.stage for m in plan.machines.values()]
     begun = sum(stage not in (Stage.WAITING, Stage.CLAIMED, Stage.DROPPED) for stage in stages)
-    none_back = begun == sum(stage in ON_THE_WAY for stage in stages)
-    nothing_moves = not any(stage in ON_THE_WAY - {Stage.HELD} | {Stage.COLD} for stage in stages)
-    if nothing_moves or (none_back and begun < FIRST * len(order.names)):
+    none_back = begun == sum(stage in IN_PROGRESS_STAGES for stage in stages)
+    nothing_moves = not any(stage in IN_PROGRESS_STAGES - {Stage.HELD} | {Stage.COLD} for stage in stages)
+    if nothing_moves or (none_back and begun < EARLY_SHARE * len(plan.names)):
         return ""
-    leaving = [n for n, m in order.machines.items() if m.stage is Stage.LEAVING and n in fleet]
-    if away + sum(fleet[n].load for n in {*leaving, name}) <= room_to_stay(order, fleet):
+    leaving = [n for n, m in plan.machines.items() if m.stage is Stage.LEAVING and n in fleet]
+    if displaced_load + sum(fleet[n].load for n in {*leaving, name}) <= lasting_headroom(plan, fleet):
         return ""
     return f"no room yet for the clients of {name} where they may stay"
 
 
-def is_full(order: Order, fleet: Fleet, away: float) -> bool:
-    """Whether machines whose turn is still to come have to take some of the clients that come now."""
-    if not any(m.stage in (Stage.WAITING, Stage.CLAIMED) for m in order.machines.values()):
+def needs_spill(plan: PlanState, fleet: Fleet, displaced_load: float) -> bool:
+    """Return whether machines whose turn is still to come must take some of the clients that arrive now."""
+    if not any(m.stage in (Stage.WAITING, Stage.CLAIMED) for m in plan.machines.values()):
         return False
-    leaving = sum(fleet[n].load for n, m in order.machines.items() if m.stage is Stage.LEAVING and n in fleet)
-    return room_to_stay(order, fleet, now=True) < away + leaving / 2
+    leaving = sum(fleet[n].load for n, m in plan.machines.items() if m.stage is Stage.LEAVING and n in fleet)
+    return lasting_headroom(plan, fleet, immediate=True) < displaced_load + leaving / 2
 
 
-def room_to_stay(order: Order, fleet: Fleet, now: bool = False) -> float:
-    """For clients, with machines whose turn is over or never comes."""
-    still_to_go = ON_THE_WAY - {Stage.BACK} | {Stage.WAITING, Stage.CLAIMED}
+def lasting_headroom(plan: PlanState, fleet: Fleet, immediate: bool = False) -> float:
+    """Return the capacity left for clients on machines whose turn is over or never comes."""
+    still_to_go = IN_PROGRESS_STAGES - {Stage.BACK} | {Stage.WAITING, Stage.CLAIMED}
     return sum(
-        seen.room(now)
-        for n, seen in fleet.items()
-        if seen.up and not seen.by_hand and (n not in order.machines or order.machines[n].stage not in still_to_go)
+        view.headroom(immediate)
+        for n, view in fleet.items()
+        if view.up and not view.suspended and (n not in plan.machines or plan.machines[n].stage not in still_to_go)
     )
 
 
-def to_claim(order: Order) -> tuple[int, list[str]]:
-    """How far ahead turns are to be announced by now, and who is thereby claimed."""
-    if order.status is not Status.RUNNING:
-        return order.ahead, []
-    begun = [m.rank for m in order.machines.values() if m.stage not in (Stage.WAITING, Stage.CLAIMED)]
-    waiting = [m for m in _by_rank(order) if m.stage in (Stage.WAITING, Stage.CLAIMED)]
-    reach = waiting[: AHEAD * order.limits.most_out]
-    ahead = max([order.ahead, *(rank + 1 for rank in begun), *(m.rank + 1 for m in reach)])
-    return ahead, [m.name for m in _by_rank(order) if m.stage is Stage.WAITING and m.rank < ahead]
+def next_announcement(plan: PlanState) -> tuple[int, list[str]]:
+    """Return how many machines should be announced by now, and those among them that are still waiting."""
+    if plan.status is not Status.RUNNING:
+        return plan.announced_count, []
+    begun = [m.rank for m in plan.machines.values() if m.stage not in (Stage.WAITING, Stage.CLAIMED)]
+    waiting = [m for m in _by_rank(plan) if m.stage in (Stage.WAITING, Stage.CLAIMED)]
+    upcoming = waiting[: ANNOUNCE_FACTOR * plan.limits.max_out]
+    announced_count = max([plan.announced_count, *(rank + 1 for rank in begun), *(m.rank + 1 for m in upcoming)])
+    return announced_count, [m.name for m in _by_rank(plan) if m.stage is Stage.WAITING and m.rank < announced_count]
 
 
-def _by_rank(order: Order) -> Iterable[Machine]:
-    return sorted(order.machines.values(), key=lambda m: m.rank)
+def _by_rank(plan: PlanState) -> Iterable[Machine]:
+    return sorted(plan.machines.values(), key=lambda m: m.rank)
 
 
-def _few(names: Iterable[str]) -> str:
-    told = sorted(names)
-    return ", ".join(told[:3]) + (f" and {len(told) - 3} more" if len(told) > 3 else "")
+def _abbreviated(names: Iterable[str]) -> str:
+    ordered = sorted(names)
+    return ", ".join(ordered[:3]) + (f" and {len(ordered) - 3} more" if len(ordered) > 3 else "")
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -1,4 +1,4 @@
-"""The order of work without I/O: plans, the planner, and whole fleets in simulated time under faults."""
+"""Maintenance without I/O: plans, the planner, and whole fleets in simulated time under faults."""
 
 from __future__ import annotations
 
@@ -10,147 +10,162 @@
 import pytest
 from msgspec import structs
 
-from bramblestile.lab.working import BrokenError, Process, Works
+from bramblestile.lab.maintenance_simulation import InvariantError, MaintenanceSimulation, Process
 from bramblestile.store.replica import Replica
-from bramblestile.work import foreman as foreman_module
-from bramblestile.work import messages, planner
-from bramblestile.work import order as keys
-from bramblestile.work.foreman import Foreman, Heard, Proposal
-from bramblestile.work.hand import LEASE, POLL_EVERY, SILENT, Hand
+from bramblestile.work import messages, plan_state, planner
+from bramblestile.work import scheduler as scheduler_module
 from bramblestile.work.messages import Poll, Reply
-from bramblestile.work.order import Machine, Order, Stage, Status
-from bramblestile.work.plan import Asked, Limits, PlanError, parse
-from bramblestile.work.planner import Seen, choose, settle, to_claim
+from bramblestile.work.participant import LEASE_DURATION, POLL_INTERVAL, SILENCE_TIMEOUT, Participant
+from bramblestile.work.plan import Limits, PlanError, PlanRequest, parse
+from bramblestile.work.plan_state import Machine, PlanState, Stage, Status
+from bramblestile.work.planner import MachineView, choose_next, next_announcement, order_machines
+from bramblestile.work.scheduler import LastPoll, Proposal, Scheduler
 
 S = timedelta(seconds=1)
-FLEET = {f"m{n}": Seen(f"hall-{n % 2}") for n in range(8)}
-PLAN = 'machines = ["m0", "m1"]\nreason = "new disks"\n'
+FLEET = {f"m{n}": MachineView(f"hall-{n % 2}") for n in range(8)}
+PLAN_FILE = 'machines = ["m0", "m1"]\nreason = "new disks"\n'
 
 
-def order(limits: Limits | None = None, **stages: Stage) -> Order:
+def make_plan(limits: Limits | None = None, **stages: Stage) -> PlanState:
+    """A running plan of all machines; those without a stage of their own are claimed."""
     names = tuple(FLEET)
     machines = {n: Machine(n, rank, stages.get(n, Stage.CLAIMED)) for rank, n in enumerate(names)}
-    return Order("p1", Status.RUNNING, "test", limits or Limits(2, 0.5, False), (), names, 8, 0, 1, machines, {})
+    return PlanState("p1", Status.RUNNING, "test", limits or Limits(2, 0.5, False), (), names, 8, 0, 1, machines, {})
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "message"),
     [
         ("machines = ", "not TOML"),
         ('reason = "x"', "machines"),
-        (PLAN.replace("m1", "m0"), "m0: named twice"),
-        (PLAN + "most_out = 0", "most_out"),
-        (PLAN + "most_out = 1.5", "most_out"),
-        (PLAN + "least_capacity = 2", "least_"),
-        (PLAN + "halls_apart = 1", "halls_apart"),
-        (PLAN + "limit_s = 0", "limit_s"),
-        (PLAN + "colour = 1", "colour"),
-        (PLAN + "command = 'reboot'", "command"),
+        (PLAN_FILE.replace("m1", "m0"), "m0: named twice"),
+        (PLAN_FILE + "most_out = 0", "most_out"),
+        (PLAN_FILE + "most_out = 1.5", "most_out"),
+        (PLAN_FILE + "least_capacity = 2", "least_"),
+        (PLAN_FILE + "halls_apart = 1", "halls_apart"),
+        (PLAN_FILE + "limit_s = 0", "limit_s"),
+        (PLAN_FILE + "colour = 1", "colour"),
+        (PLAN_FILE + "command = 'reboot'", "command"),
         ('machines = ["m0"]\nreason = ""', "reason"),
-        (PLAN.replace("m1", "m" * 65), "machines"),
-        (PLAN.replace("m1", "@b1"), "machines"),
-        (PLAN + "bystanders = 1", "bystanders"),
-        (PLAN + 'balancers = ["b1"]', "balancers: not in one plan"),
+        (PLAN_FILE.replace("m1", "m" * 65), "machines"),
+        (PLAN_FILE.replace("m1", "@b1"), "machines"),
+        (PLAN_FILE + "bystanders = 1", "bystanders"),
+        (PLAN_FILE + 'balancers = ["b1"]', "balancers: not in one plan"),
         ('balancers = ["a", "a"]', "balancers: a: named"),
     ],
 )
-def test_a_plan_that_makes_no_sense_is_refused_by_its_key(text: str, names: str) -> None:
-    with pytest.raises(PlanError, match=names):
+def test_an_invalid_plan_file_is_refused_and_its_key_named(text: str, message: str) -> None:
+    with pytest.raises(PlanError, match=message):
         parse(text)
 
 
-def test_a_plan_that_cannot_keep_its_limits_is_refused_by_the_machine() -> None:
-    asked = Asked(("m0", "m1"), "x", Limits(1, 0.9))
+def test_a_plan_that_cannot_keep_its_limits_is_refused_and_the_machine_named() -> None:
+    request = PlanRequest(("m0", "m1"), "x", Limits(1, 0.9))
     with pytest.raises(PlanError, match=r"without m0 there is 88% left, and 90% must stay"):
-        settle(asked, FLEET)
+        order_machines(request, FLEET)
     with pytest.raises(PlanError, match="m9: no image server"):
-        settle(replace(asked, machines=("m9",)), FLEET)
-    long = {f"{n:064}": Seen() for n in range(30)}
+        order_machines(replace(request, machines=("m9",)), FLEET)
+    long_names = {f"{n:064}": MachineView() for n in range(30)}
     with pytest.raises(PlanError, match="most_out"):
-        settle(Asked(tuple(long), "x", Limits(8, 0)), long)
+        order_machines(PlanRequest(tuple(long_names), "x", Limits(8, 0)), long_names)
 
 
-def test_the_order_is_one_hall_after_the_other_and_a_whole_fleet_has_a_refuge() -> None:
-    names, tail = settle(Asked(tuple(FLEET), "x", Limits(2, 0.5)), FLEET | {"m1": Seen("hall-1", load=3.0)})
-    assert [FLEET[n].hall for n in names] == ["hall-0"] * 4 + ["hall-1"] * 4 and tail == 1
-    assert settle(Asked(("m0", "m1"), "x", Limits()), FLEET)[1] == 0
+def test_halls_follow_one_another_and_a_plan_of_the_whole_fleet_has_a_fallback() -> None:
+    names, fallback_count = order_machines(
+        PlanRequest(tuple(FLEET), "x", Limits(2, 0.5)), FLEET | {"m1": MachineView("hall-1", load=3.0)}
+    )
+    assert [FLEET[n].hall for n in names] == ["hall-0"] * 4 + ["hall-1"] * 4 and fallback_count == 1
+    assert order_machines(PlanRequest(("m0", "m1"), "x", Limits()), FLEET)[1] == 0
 
 
 @pytest.mark.parametrize(
-    ("limits", "fleet", "stages", "why"),
+    ("limits", "fleet", "stages", "block_reason"),
     [
         (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.COLD}, None),
-        (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.OUT}, "m0, m1 on their way"),
-        (Limits(2, 0.5, False), {"m6": Seen("hall-0", up=False)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
-        (Limits(2, 0.5, False), {"m6": Seen("hall-0", by_hand=True)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
-        (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.3)}, {"m0": Stage.OUT}, "m0, z missing already"),
-        (Limits(2, 0.5, False), {"z": Seen("hall-0", warmth=0.95)}, {"m0": Stage.OUT}, None),
-        (Limits(3, 0.5, True), {"m3": Seen("hall-1", up=False)}, {"m0": Stage.OUT}, "m0 of another hall"),
+        (Limits(2, 0.5, False), {}, {"m0": Stage.LEAVING, "m1": Stage.OUT}, "m0, m1 in progress"),
+        (Limits(2, 0.5, False), {"m6": MachineView("hall-0", up=False)}, {"m0": Stage.OUT}, "m0, m6 missing already"),
+        (
+            Limits(2, 0.5, False),
+            {"m6": MachineView("hall-0", suspended=True)},
+            {"m0": Stage.OUT},
+            "m0, m6 missing already",
+        ),
+        (Limits(2, 0.5, False), {"z": MachineView("hall-0", warmth=0.3)}, {"m0": Stage.OUT}, "m0, z missing already"),
+        (Limits(2, 0.5, False), {"z": MachineView("hall-0", warmth=0.95)}, {"m0": Stage.OUT}, None),
+        (Limits(3, 0.5, True), {"m3": MachineView("hall-1", up=False)}, {"m0": Stage.OUT}, "m0 of another hall"),
         (Limits(3, 0.8, False), {}, {"m0": Stage.OUT}, "75% of the capacity would be left, 80% must stay"),
-        (Limits(3, 0.5, False), {n: Seen(load=0.85) for n in FLEET}, {}, "would fill 97%"),
-        (Limits(3, 0.5, False), {"m0": Seen("hall-0", up=False)}, {}, None),
+        (Limits(3, 0.5, False), {n: MachineView(load=0.85) for n in FLEET}, {}, "would fill 97%"),
+        (Limits(3, 0.5, False), {"m0": MachineView("hall-0", up=False)}, {}, None),
     ],
 )
-def test_whether_one_more_may_leave(
-    limits: Limits, fleet: dict[str, Seen], stages: dict[str, Stage], why: str | None
+def test_whether_one_more_machine_may_leave(
+    limits: Limits, fleet: dict[str, MachineView], stages: dict[str, Stage], block_reason: str | None
 ) -> None:
-    choice = choose(order(limits, **stages), FLEET | fleet)
-    assert (choice.name is not None) == (why is None) and (why or "") in choice.why
-
-
-def test_beyond_the_first_few_clients_need_room_where_they_may_stay() -> None:
-    full = {n: Seen("hall-0", load=0.5) for n in FLEET}
-    now = order(Limits(4, 0.2, False), m0=Stage.LEAVING)
-    assert "no room yet for the clients of m1" in choose(now, full).why
-    now = order(Limits(4, 0.2, False), m0=Stage.LEAVING, m1=Stage.DONE)
-    assert "no room yet for the clients of m2" in choose(now, full).why
-    assert choose(now, full | {"m1": Seen("hall-0")}).name is None
-    assert choose(now, full | {"m1": Seen("hall-0"), "z": Seen("hall-0", load=0.4)}).name == "m2"
-    assert choose(order(Limits(4, 0.2, False)), full).name == "m0"
-
-
-def test_turns_are_announced_before_they_come_and_clients_lean_away_from_them() -> None:
-    fresh = order(Limits(1), **dict.fromkeys(FLEET, Stage.WAITING))
-    assert to_claim(replace(fresh, ahead=0)) == (2, ["m0", "m1"])
-    went = order(Limits(1), m0=Stage.OUT, m1=Stage.CLAIMED, **{f"m{n}": Stage.WAITING for n in range(2, 8)})
-    assert to_claim(replace(went, ahead=2)) == (3, ["m2"])
-    assert to_claim(replace(went, status=Status.PAUSED, ahead=2)) == (2, [])
-    hand = Hand("b1", 7)
-    hand.hear(reply(hand, 5, S, over=("m0",)), S)
-    assert list(hand.lean()) == ["m1", "m2", "m3"] and sorted(hand.lean().values()) == list(hand.lean().values())
-    hand.hear(reply(hand, 6, S, status="aborted"), S)
-    assert not hand.lean()
-
-
-def test_what_is_agreed_on_reads_back_and_another_plans_keys_count_for_nothing() -> None:
-    asked = Asked(tuple(FLEET), "disks", Limits(2, 0.5, False, 60 * S), ("renew", "{}"))
+    choice = choose_next(make_plan(limits, **stages), FLEET | fleet)
+    assert (choice.name is not None) == (block_reason is None) and (block_reason or "") in choice.block_reason
+
+
+def test_after_the_first_few_machines_clients_need_room_where_they_can_stay() -> None:
+    loaded = {n: MachineView("hall-0", load=0.5) for n in FLEET}
+    plan = make_plan(Limits(4, 0.2, False), m0=Stage.LEAVING)
+    assert "no room yet for the clients of m1" in choose_next(plan, loaded).block_reason
+    plan = make_plan(Limits(4, 0.2, False), m0=Stage.LEAVING, m1=Stage.DONE)
+    assert "no room yet for the clients of m2" in choose_next(plan, loaded).block_reason
+    assert choose_next(plan, loaded | {"m1": MachineView("hall-0")}).name is None
+    assert choose_next(plan, loaded | {"m1": MachineView("hall-0"), "z": MachineView("hall-0", load=0.4)}).name == "m2"
+    assert choose_next(make_plan(Limits(4, 0.2, False)), loaded).name == "m0"
+
+
+def test_turns_are_announced_in_advance_and_lower_the_weights_of_the_machines() -> None:
+    fresh = make_plan(Limits(1), **dict.fromkeys(FLEET, Stage.WAITING))
+    assert next_announcement(replace(fresh, announced_count=0)) == (2, ["m0", "m1"])
+    begun = make_plan(Limits(1), m0=Stage.OUT, m1=Stage.CLAIMED, **{f"m{n}": Stage.WAITING for n in range(2, 8)})
+    assert next_announcement(replace(begun, announced_count=2)) == (3, ["m2"])
+    assert next_announcement(replace(begun, status=Status.PAUSED, announced_count=2)) == (2, [])
+    participant = Participant("b1", 7)
+    participant.handle_reply(make_reply(participant, 5, S, completed=("m0",)), S)
+    assert list(participant.weight_factors()) == ["m1", "m2", "m3"] and sorted(
+        participant.weight_factors().values()
+    ) == list(participant.weight_factors().values())
+    participant.handle_reply(make_reply(participant, 6, S, status="aborted"), S)
+    assert not participant.weight_factors()
+
+
+def test_the_replicated_state_reads_back_and_keys_of_another_plan_are_ignored() -> None:
+    request = PlanRequest(tuple(FLEET), "disks", Limits(2, 0.5, False, 60 * S), ("renew", "{}"))
     values: dict[str, str] = {}
-    for number, (key, value) in enumerate(keys.begin("p1", asked, tuple(FLEET), 1, values)):
-        assert not keys.load(values).is_on, number
+    for number, (key, value) in enumerate(plan_state.plan_entries("p1", request, tuple(FLEET), 1, values)):
+        assert not plan_state.load_state(values).is_active, number
         values[key] = value
     values.update(
         [
-            keys.ahead_key("p1", 3),
-            keys.floor_key("p1", 2),
-            keys.machine_key("p1", "m2", Stage.HELD, "why"),
-            keys.machine_key("p0", "m3", Stage.OUT),
-            keys.roster_key("b1", "p1"),
+            plan_state.announced_entry("p1", 3),
+            plan_state.acknowledged_entry("p1", 2),
+            plan_state.machine_entry("p1", "m2", Stage.HELD, "why"),
+            plan_state.machine_entry("p0", "m3", Stage.OUT),
+            plan_state.roster_entry("b1", "p1"),
         ]
     )
-    got = keys.load(values)
-    assert (got.status, got.names, got.ahead, got.tail) == (Status.RUNNING, tuple(FLEET), 3, 1) and got.floor == 2
-    assert got.limits == asked.limits and got.command == asked.command and got.roster == {"b1": "p1"}
-    assert got.machines["m2"].why == "why" and got.machines["m3"].stage is Stage.WAITING
-    assert keys.load(values | dict([keys.status_key("p0", Status.RUNNING)])).status is Status.NONE
+    plan = plan_state.load_state(values)
+    assert (plan.status, plan.names, plan.announced_count, plan.fallback_count) == (
+        Status.RUNNING,
+        tuple(FLEET),
+        3,
+        1,
+    ) and plan.acknowledged_count == 2
+    assert plan.limits == request.limits and plan.command == request.command and plan.roster == {"b1": "p1"}
+    assert plan.machines["m2"].block_reason == "why" and plan.machines["m3"].stage is Stage.WAITING
+    assert plan_state.load_state(values | dict([plan_state.status_entry("p0", Status.RUNNING)])).status is Status.NONE
 
 
-def reply(hand: Hand, version: int, at: timedelta, **more: object) -> Reply:
+def make_reply(participant: Participant, version: int, sent_at: timedelta, **changes: object) -> Reply:
+    """A reply to a poll that was sent at ``sent_at``, about a plan of four machines, with a lease of 3 s."""
     base = Reply(
         "b0",
-        hand.life,
+        participant.epoch,
         1,
         version,
-        at // timedelta(microseconds=1),
+        sent_at // timedelta(microseconds=1),
         3000,
         "p1",
         "running",
@@ -163,227 +178,273 @@
         0,
         ("m0", "m1", "m2", "m3"),
     )
-    return structs.replace(base, **more)
-
-
-def allowed(hand: Hand, at: timedelta) -> str:
-    return " ".join(name for name in ("m0", "m1", "m2", "m3", "x") if hand.allows(name, at))
-
-
-def test_what_a_balancer_leaves_alone_by_its_own_clock() -> None:
-    hand = Hand("b1", 7)
-    assert allowed(hand, S) == "m0 m1 m2 m3 x"
-    hand.hear(reply(hand, 5, S, alone={"m0": "leaving"}), 2 * S)
-    assert allowed(hand, S + LEASE - S / 10) == "m1 m2 m3 x"
-    assert allowed(hand, S + LEASE) == "m2 m3 x"  # from its own asking on, not from the answer
-    assert allowed(hand, S + LEASE + SILENT) == "m3 x"
-    hand.hear(reply(hand, 4, 40 * S), 40 * S)  # an old word, come late
-    hand.hear(reply(hand, 9, 40 * S, life=6, alone={}), 40 * S)  # to the process before
-    assert allowed(hand, 40 * S) == "m3 x"
-    hand.hear(reply(hand, 6, 40 * S, alone={"m0": "back"}, over=("m2",)), 40 * S)
-    assert allowed(hand, 41 * S) == "m0 m1 m2 m3 x"
-    assert allowed(hand, 100 * S) == "m2 m3 x"
-    again = Hand(
-        "b1", 8, plan="p1", status="running", window=hand.window, refuge=hand.refuge, names=hand.names, count=4
+    return structs.replace(base, **changes)
+
+
+def allowed(participant: Participant, now: timedelta) -> str:
+    return " ".join(name for name in ("m0", "m1", "m2", "m3", "x") if participant.allows(name, now))
+
+
+def test_which_machines_a_balancer_sends_to_by_its_own_clock() -> None:
+    participant = Participant("b1", 7)
+    assert allowed(participant, S) == "m0 m1 m2 m3 x"
+    participant.handle_reply(make_reply(participant, 5, S, excluded={"m0": "leaving"}), 2 * S)
+    assert allowed(participant, S + LEASE_DURATION - S / 10) == "m1 m2 m3 x"
+    assert allowed(participant, S + LEASE_DURATION) == "m2 m3 x"  # counted from the poll, not from the reply
+    assert allowed(participant, S + LEASE_DURATION + SILENCE_TIMEOUT) == "m3 x"
+    participant.handle_reply(make_reply(participant, 4, 40 * S), 40 * S)  # an older version that arrives late
+    participant.handle_reply(make_reply(participant, 9, 40 * S, epoch=6, excluded={}), 40 * S)  # to an earlier process
+    assert allowed(participant, 40 * S) == "m3 x"
+    participant.handle_reply(make_reply(participant, 6, 40 * S, excluded={"m0": "back"}, completed=("m2",)), 40 * S)
+    assert allowed(participant, 41 * S) == "m0 m1 m2 m3 x"
+    assert allowed(participant, 100 * S) == "m2 m3 x"
+    restarted = Participant(
+        "b1",
+        8,
+        plan_id="p1",
+        status="running",
+        announced=participant.announced,
+        fallback=participant.fallback,
+        names=participant.names,
+        machine_count=4,
+    )
+    assert allowed(restarted, S) == "m3 x"  # with the saved state, and silent until it is answered
+    participant.handle_reply(make_reply(participant, 7, 101 * S, plan_id="", status="ended"), 101 * S)
+    assert allowed(participant, 200 * S) == "m0 m1 m2 m3 x"
+
+
+def test_a_balancer_that_is_not_answered_polls_no_more_often_than_without_a_plan() -> None:
+    participant = Participant("b1", 7)
+    participant.handle_reply(make_reply(participant, 5, S, poll_interval_ms=200), S)
+    for now, interval in (
+        (S, S / 5),
+        (S + LEASE_DURATION * 0.9, S / 5),
+        (S + LEASE_DURATION, POLL_INTERVAL),
+        (60 * S, POLL_INTERVAL),
+    ):
+        participant.poll(now, (), {})
+        assert participant.next_poll_at == now + interval
+    participant.handle_reply(make_reply(participant, 6, 60 * S, poll_interval_ms=200), 60 * S)
+    participant.poll(60 * S, (), {})
+    assert participant.next_poll_at == 60 * S + S / 5
+
+
+def test_which_balancers_the_leader_waits_for() -> None:
+    scheduler = Scheduler("b0")
+    scheduler.begin_term(1, 100 * S)
+    plan = replace(
+        make_plan(m0=Stage.LEAVING), announced_count=3, roster={f"b{n}": "p1" for n in range(4)} | {"b9": ""}
     )
-    assert allowed(again, S) == "m3 x"  # restarted, with what was kept: silent until it is heard
-    hand.hear(reply(hand, 7, 101 * S, plan="", status="ended"), 101 * S)
-    assert allowed(hand, 200 * S) == "m0 m1 m2 m3 x"
-
-
-def test_who_is_not_answered_asks_no_more_often_than_without_a_plan() -> None:
-    hand = Hand("b1", 7)
-    hand.hear(reply(hand, 5, S, poll_ms=200), S)
-    for at, every in ((S, S / 5), (S + LEASE * 0.9, S / 5), (S + LEASE, POLL_EVERY), (60 * S, POLL_EVERY)):
-        hand.poll(at, (), {})
-        assert hand.due == at + every
-    hand.hear(reply(hand, 6, 60 * S, poll_ms=200), 60 * S)
-    hand.poll(60 * S, (), {})
-    assert hand.due == 60 * S + S / 5
-
-
-def test_whom_the_leader_waits_for() -> None:
-    foreman = Foreman("b0")
-    foreman.lead(1, 100 * S)
-    now = replace(order(m0=Stage.LEAVING), ahead=3, roster={f"b{n}": "p1" for n in range(4)} | {"b9": ""})
-    foreman.apply(now, 10, 100 * S)
-    machine = now.machines["m0"]
-    assert set(foreman.lacks(machine, now, 101 * S)) == {"b0", "b1", "b2", "b3", "b9"}
-    for name, seen, quiet in (("b0", 10, "m0"), ("b1", 10, ""), ("b2", 9, "m0")):
-        foreman.heard[name] = Heard(101 * S, 1, seen, "p1", 3, frozenset([quiet]))
-    assert foreman.lacks(machine, now, 102 * S) == {
+    scheduler.apply(plan, 10, 100 * S)
+    machine = plan.machines["m0"]
+    assert set(scheduler.unconfirmed(machine, plan, 101 * S)) == {"b0", "b1", "b2", "b3", "b9"}
+    for name, version, quiesced in (("b0", 10, "m0"), ("b1", 10, ""), ("b2", 9, "m0")):
+        scheduler.last_polls[name] = LastPoll(101 * S, 1, version, "p1", 3, frozenset([quiesced]))
+    assert scheduler.unconfirmed(machine, plan, 102 * S) == {
         "b1": "is still sending there",
         "b2": "has not confirmed",
         "b3": "has not confirmed",
         "b9": "has not confirmed",
     }
-    late = foreman.lacks(machine, now, 101 * S + LEASE * 1.2)
-    assert set(late) == {"b3", "b9"} and "does not know of this plan" in late["b9"]
-    floored = replace(now, floor=1)
-    assert set(foreman.lacks(machine, floored, 101 * S + LEASE * 1.2)) == {"b9"}
-    assert set(foreman.lacks(machine, now, 140 * S)) == {"b9"}
-    refuge = replace(now.machines["m7"], stage=Stage.LEAVING)
-    foreman.told["m7"] = Stage.LEAVING, 10, 100 * S
-    assert "refuge" in foreman.lacks(refuge, now, 140 * S)["b3"]
-    foreman.left = {"b3", "b9"}
-    assert not foreman.lacks(machine, now, 140 * S)
-
-
-def test_no_lease_before_the_roster_has_it() -> None:
-    foreman, now = Foreman("b0"), order()
-    got, proposal = foreman.hear(Poll("b5", 1, 77), now, 3, S)
-    assert (got.lease_ms, got.stamp) == (0, 77) and proposal == keys.roster_key("b5", "")
-    got, proposal = foreman.hear(Poll("b5", 1, 78, plan="p1"), replace(now, roster={"b5": ""}), 4, S)
-    assert got.lease_ms == 3000 and proposal == keys.roster_key("b5", "p1")
-
-
-def test_words_of_an_older_and_of_a_later_version_are_understood() -> None:
+    after_lease = scheduler.unconfirmed(machine, plan, 101 * S + LEASE_DURATION * 1.2)
+    assert set(after_lease) == {"b3", "b9"} and "does not know of this plan" in after_lease["b9"]
+    acknowledged = replace(plan, acknowledged_count=1)
+    assert set(scheduler.unconfirmed(machine, acknowledged, 101 * S + LEASE_DURATION * 1.2)) == {"b9"}
+    assert set(scheduler.unconfirmed(machine, plan, 140 * S)) == {"b9"}
+    fallback = replace(plan.machines["m7"], stage=Stage.LEAVING)
+    scheduler.stage_changes["m7"] = Stage.LEAVING, 10, 100 * S
+    assert "fallback" in scheduler.unconfirmed(fallback, plan, 140 * S)["b3"]
+    scheduler.departed = {"b3", "b9"}
+    assert not scheduler.unconfirmed(machine, plan, 140 * S)
+
+
+def test_a_balancer_gets_no_lease_before_it_is_in_the_roster() -> None:
+    scheduler, plan = Scheduler("b0"), make_plan()
+    reply, proposal = scheduler.handle_poll(Poll("b5", 1, 77), plan, 3, S)
+    assert (reply.lease_ms, reply.sent_at_us) == (0, 77) and proposal == plan_state.roster_entry("b5", "")
+    reply, proposal = scheduler.handle_poll(Poll("b5", 1, 78, plan_id="p1"), replace(plan, roster={"b5": ""}), 4, S)
+    assert reply.lease_ms == 3000 and proposal == plan_state.roster_entry("b5", "p1")
+
+
+def test_messages_of_an_older_and_of_a_later_version_are_understood() -> None:
     older = msgspec.msgpack.encode(["b1", 7, 99])
     later = msgspec.msgpack.encode(["b1", 7, 99, 0, 0, "", 0, [], {}, 0, 0, [], True, "of a later version", 3])
-    assert messages.decoded(b"q" + older) == Poll("b1", 7, 99) == messages.decoded(b"q" + later)
-    told = msgspec.msgpack.encode(["b0", 7, 1, 5, 99, 3000, "p1", "running"])
-    hand = Hand("b1", 7)
-    got = messages.decoded(b"a" + told)
-    assert isinstance(got, Reply) and hand.hear(got, S) and hand.every == POLL_EVERY and not hand.full
+    assert messages.decode_message(b"q" + older) == Poll("b1", 7, 99) == messages.decode_message(b"q" + later)
+    older_reply = msgspec.msgpack.encode(["b0", 7, 1, 5, 99, 3000, "p1", "running"])
+    participant = Participant("b1", 7)
+    reply = messages.decode_message(b"a" + older_reply)
+    assert (
+        isinstance(reply, Reply)
+        and participant.handle_reply(reply, S)
+        and participant.poll_interval == POLL_INTERVAL
+        and not participant.spill
+    )
 
 
-def test_nothing_leaves_while_one_of_the_fleet_takes_no_part() -> None:
-    foreman, now = Foreman("b0"), replace(order(m0=Stage.LEAVING), roster={"b0": "p1"})
-    foreman.lead(1, S)
-    foreman.apply(now, 10, S)
-    foreman.heard["b0"] = Heard(S, 1, 10, "p1", 8, frozenset(["m0"]))
-    assert not foreman.lacks(now.machines["m0"], now, S)
-    foreman.outside = {"old"}
-    assert foreman.lacks(now.machines["m0"], now, S) == {"old": "takes no part in the order of work"}
-    assert foreman.step(replace(now, ahead=8, floor=8), FLEET, 9 * S) is None and "old of the fleet" in foreman.why
-    assert not foreman.lacks(now.machines["m0"], replace(now, bystanders=("old",)), S)
+def test_no_machine_leaves_while_a_member_of_the_fleet_does_not_take_part() -> None:
+    scheduler, plan = Scheduler("b0"), replace(make_plan(m0=Stage.LEAVING), roster={"b0": "p1"})
+    scheduler.begin_term(1, S)
+    scheduler.apply(plan, 10, S)
+    scheduler.last_polls["b0"] = LastPoll(S, 1, 10, "p1", 8, frozenset(["m0"]))
+    assert not scheduler.unconfirmed(plan.machines["m0"], plan, S)
+    scheduler.nonparticipants = {"old"}
+    assert scheduler.unconfirmed(plan.machines["m0"], plan, S) == {"old": "takes no part in maintenance"}
+    assert (
+        scheduler.next_step(replace(plan, announced_count=8, acknowledged_count=8), FLEET, 9 * S) is None
+        and "old of the fleet" in scheduler.block_reason
+    )
+    assert not scheduler.unconfirmed(plan.machines["m0"], replace(plan, bystanders=("old",)), S)
 
 
 @pytest.mark.parametrize("raw", [b"", b"x", b"q\x90", b"a\xc1", b"q" + b"\x91" * 2000])
-def test_what_is_neither_poll_nor_answer(raw: bytes) -> None:
+def test_a_payload_that_is_neither_poll_nor_reply_is_refused(raw: bytes) -> None:
     with pytest.raises(ValueError):
-        messages.decoded(raw)
+        messages.decode_message(raw)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_drawn_faults(seed: int) -> None:
-    Works(seed, 5 + seed % 9).play()
+def test_random_faults(seed: int) -> None:
+    MaintenanceSimulation(seed, 5 + seed % 9).run_scenario()
 
 
-def counts_a_confirm_twice(patch: pytest.MonkeyPatch) -> None:
-    counted: dict[tuple[int, str, int], int] = {}
-    hear = Foreman.hear
+# Bugs that the simulation must detect.
 
-    def heard(self: Foreman, got: Poll, now: Order, version: int, at: timedelta) -> tuple[Reply, Proposal | None]:
-        for name in got.quiet:
-            if name in self.told and got.seen >= self.told[name][1]:
-                key = id(self), name, self.told[name][1]
+
+def counts_confirmations_twice(patch: pytest.MonkeyPatch) -> None:
+    """The leader counts confirmations instead of the balancers that confirmed."""
+    counted: dict[tuple[int, str, int], int] = {}
+    handle_poll = Scheduler.handle_poll
+
+    def counting(
+        self: Scheduler, poll: Poll, plan: PlanState, version: int, now: timedelta
+    ) -> tuple[Reply, Proposal | None]:
+        for name in poll.quiesced:
+            if name in self.stage_changes and poll.applied_version >= self.stage_changes[name][1]:
+                key = id(self), name, self.stage_changes[name][1]
                 counted[key] = counted.get(key, 0) + 1
-        return hear(self, got, now, version, at)
+        return handle_poll(self, poll, plan, version, now)
 
-    def lacks(self: Foreman, machine: Machine, now: Order, at: timedelta) -> dict[str, str]:
-        enough = counted.get((id(self), machine.name, self.told[machine.name][1]), 0) >= len(now.roster)
+    def unconfirmed(self: Scheduler, machine: Machine, plan: PlanState, now: timedelta) -> dict[str, str]:
+        enough = counted.get((id(self), machine.name, self.stage_changes[machine.name][1]), 0) >= len(plan.roster)
         return {} if enough else {"somebody": "has not confirmed"}
 
-    patch.setattr(Foreman, "hear", heard)
-    patch.setattr(Foreman, "lacks", lacks)
+    patch.setattr(Scheduler, "handle_poll", counting)
+    patch.setattr(Scheduler, "unconfirmed", unconfirmed)
 
 
-def goes_by_the_wall_clock(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Works, "hand_clock", lambda self, process: self.clock(process) + process.wall)
+def uses_the_wall_clock(patch: pytest.MonkeyPatch) -> None:
+    """A balancer's leases go by its wall clock."""
+    patch.setattr(
+        MaintenanceSimulation, "lease_clock", lambda self, process: self.clock(process) + process.wall_clock_error
+    )
 
 
-def steps_without_the_majority(patch: pytest.MonkeyPatch) -> None:
+def commits_without_a_majority(patch: pytest.MonkeyPatch) -> None:
+    """A leader commits what it has written itself."""
     patch.setattr(Replica, "_count", lambda self: self._commit(self.journal.last()[0]))
 
 
-def gives_a_lease_to_one_it_may_forget(patch: pytest.MonkeyPatch) -> None:
-    hear = Foreman.hear
+def grants_a_lease_before_the_roster_entry(patch: pytest.MonkeyPatch) -> None:
+    """A balancer gets a lease that the next leader does not know of."""
+    handle_poll = Scheduler.handle_poll
 
-    def heard(self: Foreman, got: Poll, now: Order, version: int, at: timedelta) -> tuple[Reply, Proposal | None]:
-        return structs.replace(hear(self, got, now, version, at)[0], lease_ms=3000), None
+    def granting(
+        self: Scheduler, poll: Poll, plan: PlanState, version: int, now: timedelta
+    ) -> tuple[Reply, Proposal | None]:
+        return structs.replace(handle_poll(self, poll, plan, version, now)[0], lease_ms=3000), None
 
-    patch.setattr(Foreman, "hear", heard)
-    patch.setattr(Foreman, "to_enter", lambda self, now: [])
+    patch.setattr(Scheduler, "handle_poll", granting)
+    patch.setattr(Scheduler, "roster_updates", lambda self, plan: [])
 
 
-def thinks_leases_shorter_than_they_are(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(foreman_module, "UNHEARD", LEASE * 0.4)
+def expires_leases_too_early(patch: pytest.MonkeyPatch) -> None:
+    """The leader takes leases for expired that are not."""
+    patch.setattr(scheduler_module, "LEASE_EXPIRED_AFTER", LEASE_DURATION * 0.4)
 
 
-def takes_a_balancer_out_unasked(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Foreman, "lacks", lambda self, machine, now, at: {})
+def ignores_missing_confirmations(patch: pytest.MonkeyPatch) -> None:
+    """A machine is taken out without any confirmation."""
+    patch.setattr(Scheduler, "unconfirmed", lambda self, machine, plan, now: {})
 
 
-def forgets_who_keeps_the_agreement(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(planner, "not_yet", lambda name, now, fleet: "")
+def ignores_the_quorum(patch: pytest.MonkeyPatch) -> None:
+    """Voters are taken out without regard to the majority."""
+    patch.setattr(planner, "quorum_block", lambda name, plan, fleet: "")
 
 
 @pytest.mark.parametrize(
     "bug",
     [
-        counts_a_confirm_twice,
-        goes_by_the_wall_clock,
-        steps_without_the_majority,
-        gives_a_lease_to_one_it_may_forget,
-        thinks_leases_shorter_than_they_are,
-        takes_a_balancer_out_unasked,
-        forgets_who_keeps_the_agreement,
+        counts_confirmations_twice,
+        uses_the_wall_clock,
+        commits_without_a_majority,
+        grants_a_lease_before_the_roster_entry,
+        expires_leases_too_early,
+        ignores_missing_confirmations,
+        ignores_the_quorum,
     ],
 )
-def test_a_bug_put_in_on_purpose_is_found(
+def test_a_deliberate_bug_is_detected(
     bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
-    with pytest.raises(BrokenError, match=r"is out, and|on their way|was aborted|no majority"):
+    with pytest.raises(InvariantError, match=r"is out, and|in progress|was aborted|no majority"):
         for seed in range(160):
-            Works(seed, 5 + seed % 16).play()
+            MaintenanceSimulation(seed, 5 + seed % 16).run_scenario()
 
 
-def test_balancers_that_keep_the_agreement_go_last_and_one_at_a_time() -> None:
-    fleet = {f"@b{n}": Seen("hall", votes=n < 3, leads=n == 0) for n in range(6)}
-    names, tail = settle(Asked(tuple(fleet), "new version", Limits(3, 0.2, False)), fleet)
-    assert names == ("@b3", "@b4", "@b5", "@b1", "@b2", "@b0") and tail == 0
+def test_balancers_that_vote_go_last_and_one_at_a_time() -> None:
+    fleet = {f"@b{n}": MachineView("hall", is_voter=n < 3, is_leader=n == 0) for n in range(6)}
+    names, fallback_count = order_machines(PlanRequest(tuple(fleet), "new version", Limits(3, 0.2, False)), fleet)
+    assert names == ("@b3", "@b4", "@b5", "@b1", "@b2", "@b0") and fallback_count == 0
     machines = {n: Machine(n, rank, Stage.CLAIMED if n < "@b3" else Stage.DONE) for rank, n in enumerate(names)}
-    now = replace(order(Limits(3, 0.2, False)), names=names, machines=machines)
-    assert choose(now, fleet).name == "@b1"
-    out = replace(now, machines=machines | {"@b1": Machine("@b1", 3, Stage.OUT)})
-    assert "without @b2 no majority" in choose(out, fleet).why
-    assert "no majority" in choose(now, fleet | {"@b2": Seen("hall", votes=True, up=False)}).why
-    last = replace(now, machines=machines | {n: Machine(n, 3, Stage.DONE) for n in ("@b1", "@b2")})
-    assert choose(last, fleet).name == "@b0"
+    plan = replace(make_plan(Limits(3, 0.2, False)), names=names, machines=machines)
+    assert choose_next(plan, fleet).name == "@b1"
+    one_out = replace(plan, machines=machines | {"@b1": Machine("@b1", 3, Stage.OUT)})
+    assert "without @b2 no majority" in choose_next(one_out, fleet).block_reason
+    assert (
+        "no majority" in choose_next(plan, fleet | {"@b2": MachineView("hall", is_voter=True, up=False)}).block_reason
+    )
+    only_leader = replace(plan, machines=machines | {n: Machine(n, 3, Stage.DONE) for n in ("@b1", "@b2")})
+    assert choose_next(only_leader, fleet).name == "@b0"
     with pytest.raises(PlanError, match="b9: no balancer"):
-        settle(Asked(("@b9",), "x", Limits()), fleet)
-    with pytest.raises(PlanError, match="b0 keeps the agreement"):
-        settle(Asked(("@b0",), "x", Limits()), {"@b0": Seen(votes=True), "@b5": Seen()})
-
-
-def test_a_plan_of_balancers_closes_no_image_server() -> None:
-    hand = Hand("b1", 7)
-    more = {"alone": {"@b1": "leaving"}, "window": ("@b1", "@b2"), "refuge": (), "names": (), "count": 9}
-    hand.hear(reply(hand, 5, S, **more), S)
-    assert hand.is_out
-    assert [allowed(hand, at) for at in (S, S + LEASE, 100 * S)] == ["m0 m1 m2 m3 x"] * 3
-    hand.hear(reply(hand, 6, S, **more | {"alone": {}}), S)
-    assert not hand.is_out
-
-
-def test_nothing_is_told_out_while_one_voter_alone_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    works = Works(3, 6)
-    assert works.run(5 * S, until=lambda: works.leader() is not None)
-    works.run(2 * S)
-    works.begin("p1", Limits(2, 0.5, False))
-    works.run(3 * S)
-    alone: Process | None = works.leader()
-    assert alone is not None
-    for name in works.voters:
-        if name != alone.name:
-            works.kill(name)
-    works.run(S)
-    before = dict(works.stages)
-    works.run(60 * S)
-    assert works.stages == before  # what is out stays out, and nothing new leaves
-    for name in works.voters:
-        if name != alone.name:
-            works.restart(name)
-    assert works.run(300 * S, until=works.finished)
+        order_machines(PlanRequest(("@b9",), "x", Limits()), fleet)
+    with pytest.raises(PlanError, match="b0 is a voter"):
+        order_machines(PlanRequest(("@b0",), "x", Limits()), {"@b0": MachineView(is_voter=True), "@b5": MachineView()})
+
+
+def test_a_plan_of_balancers_excludes_no_image_server() -> None:
+    participant = Participant("b1", 7)
+    changes = {
+        "excluded": {"@b1": "leaving"},
+        "announced": ("@b1", "@b2"),
+        "fallback": (),
+        "names": (),
+        "machine_count": 9,
+    }
+    participant.handle_reply(make_reply(participant, 5, S, **changes), S)
+    assert participant.is_excluded
+    assert [allowed(participant, now) for now in (S, S + LEASE_DURATION, 100 * S)] == ["m0 m1 m2 m3 x"] * 3
+    participant.handle_reply(make_reply(participant, 6, S, **changes | {"excluded": {}}), S)
+    assert not participant.is_excluded
+
+
+def test_no_stage_changes_while_only_one_voter_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    simulation = MaintenanceSimulation(3, 6)
+    assert simulation.run(5 * S, until=lambda: simulation.leader() is not None)
+    simulation.run(2 * S)
+    simulation.start_plan("p1", Limits(2, 0.5, False))
+    simulation.run(3 * S)
+    survivor: Process | None = simulation.leader()
+    assert survivor is not None
+    for name in simulation.voters:
+        if name != survivor.name:
+            simulation.kill(name)
+    simulation.run(S)
+    before = dict(simulation.stages)
+    simulation.run(60 * S)
+    assert simulation.stages == before  # what is out stays out, and nothing new leaves
+    for name in simulation.voters:
+        if name != survivor.name:
+            simulation.restart(name)
+    assert simulation.run(300 * S, until=simulation.is_finished)
