--- a/bramblestile/lab/play.py
+++ b/bramblestile/lab/play.py
@@ -14,11 +14,11 @@
 from hdrh.histogram import HdrHistogram
 
 from bramblestile.lab.faults import Fault, into, out_of, split
+from bramblestile.lab.maintenance_driver import MaintenanceDriver, town_of
 from bramblestile.lab.processes import Program
 from bramblestile.lab.script import Script, Step
 from bramblestile.lab.stage import SETTINGS, FailedError, Stage
 from bramblestile.lab.town import Town
-from bramblestile.lab.worksite import Worksite, town_of
 
 S = timedelta(seconds=1)
 T = TypeVar("T")
@@ -51,8 +51,8 @@
     played = Played(script, folder)
     more = (
         {}
-        if "cold_s" not in script.server
-        else {"rules": SETTINGS["rules"] | {"cold_us": int(script.server["cold_s"] * 1e6)}}
+        if "cold_s" not in script.server_options
+        else {"rules": SETTINGS["rules"] | {"cold_us": int(script.server_options["cold_s"] * 1e6)}}
     )
     try:
         with Stage(
@@ -65,12 +65,12 @@
             servers=script.servers,
             streams=script.streams,
             settings=more,
-            **script.server,
+            **script.server_options,
         ) as stage:
             _Play(script, stage, played).run()
     except (FailedError, OSError) as error:
         played.wrong.append(str(error))
-    for key, bound in script.must.items():
+    for key, bound in script.expectations.items():
         value = played.figures.get(key, float("nan"))
         if not (value >= bound if key in LEAST else value <= bound):
             wanted = "at least" if key in LEAST else "at most"
@@ -94,7 +94,7 @@
     def __init__(self, script: Script, stage: Stage, played: Played) -> None:
         self.script, self.stage, self.played = script, stage, played
         self.town: Town = town_of(stage)
-        self.work: Worksite | None = None
+        self.work: MaintenanceDriver | None = None
         self.random = Random(f"script {script.seed}")
         self.began = 0.0
         self._ended = threading.Event()
@@ -104,14 +104,14 @@
         stage.start()
         stage.agree(within=60 * S)
         most = int((script.plan or {}).get("most_out", 1))
-        self.work = Worksite(stage, most) if script.voters else None
+        self.work = MaintenanceDriver(stage, most) if script.voters else None
         looker = threading.Thread(target=self._look, name="look", daemon=True)
         try:
             if self.work is not None:
-                self.work.ready()
+                self.work.wait_for_roster()
             self.town.ask_fronts()
-            self.town.come(script.clients, script.over)
-            stage.wait(lambda: self._all_up(), 30 * S + script.over * S)
+            self.town.come(script.clients, script.arrival_s)
+            stage.wait(lambda: self._all_up(), 30 * S + script.arrival_s * S)
             before = self.town.figures()
             looker.start()
             self.began = stage.record.now()
@@ -145,35 +145,35 @@
         lifting: list[tuple[float, Callable[[], None]]] = []
         work = self.work
         if work is not None and self.script.plan is not None:
-            work.begin(**self.script.plan)
+            work.start_plan(**self.script.plan)
         while True:
-            at = self._since()
-            if at > self.script.within:
+            at_s = self._since()
+            if at_s > self.script.timeout_s:
                 raise FailedError(
-                    f"not at its end within {self.script.within:g} s: "
-                    f"{str(work.shown)[:600] if work is not None else ''}"
+                    f"not at its end within {self.script.timeout_s:g} s: "
+                    f"{str(work.progress)[:600] if work is not None else ''}"
                 )
-            seen = {stage for _, _, stage in work.seen} if work is not None else set()
-            for step in [s for s in waiting if (at >= s.at if s.at is not None else s.when in seen)]:
+            reached = {stage for _, _, stage in work.reached} if work is not None else set()
+            for step in [s for s in waiting if (at_s >= s.at_s if s.at_s is not None else s.when in reached)]:
                 waiting.remove(step)
                 lift = self._do(step)
-                if step.span is not None:
-                    lifting.append((self._since() + step.span, lift))
-            for due in [one for one in lifting if at >= one[0]]:
+                if step.duration_s is not None:
+                    lifting.append((self._since() + step.duration_s, lift))
+            for due in [one for one in lifting if at_s >= one[0]]:
                 lifting.remove(due)
                 due[1]()
-            ended = work is None or self.script.plan is None or work.shown.get("status") == "ended"
-            if not waiting and not lifting and ended and at >= self.script.lasts and self._all_up():
+            ended = work is None or self.script.plan is None or work.progress.get("status") == "ended"
+            if not waiting and not lifting and ended and at_s >= self.script.min_duration_s and self._all_up():
                 return
             time.sleep(0.02)
 
     def _who(self, step: Step) -> list[str]:
         """The names that it means by now."""
         found: list[str] = []
-        for word in step.who:
+        for word in step.targets:
             running = self.stage.running()
             if word == "leader" and self.work is not None:
-                found.append(str(self.work.shown.get("leader", self.stage.voters[0])))
+                found.append(str(self.work.progress.get("leader", self.stage.voters[0])))
             elif word == "voters":
                 found += self.stage.voters
             elif word == "half":
@@ -194,7 +194,7 @@
         stage, town, who = self.stage, self.town, self._who(step)
         programs = [stage.programs[name] for name in who if name in stage.programs]
         key = f"{step.do} {' '.join(who)[:80]} {self._since():.3f}"
-        stage.record.add("step", do=step.do, who=who, for_s=step.span, value=step.value)
+        stage.record.add("step", do=step.do, who=who, for_s=step.duration_s, value=step.value)
         faults = {
             "cut": (split, {"loss": 1.0}),
             "mute": (out_of, {"loss": 1.0}),
@@ -223,7 +223,7 @@
                 town.list_down = True
                 return lambda: setattr(town, "list_down", False)
             case _ if self.work is not None:
-                self.work.say("/" + step.do.removesuffix("-plan"))
+                self.work.call_until_accepted("/" + step.do.removesuffix("-plan"))
         return lambda: None
 
     def _measure(self, before: dict[str, float]) -> None:
@@ -244,4 +244,4 @@
             "fallen": sum(host.fallen for host in self.town.hosts.values()),
         }
         if self.work is not None:
-            played.wrong += self.work.broken
+            played.wrong += self.work.violations
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,9 +12,9 @@
 
 from bramblestile import cli
 from bramblestile.lab.faults import Fault, split
+from bramblestile.lab.maintenance_driver import town_of
 from bramblestile.lab.script import ScriptError, parse
 from bramblestile.lab.stage import PORT, Stage
-from bramblestile.lab.worksite import town_of
 
 S = timedelta(seconds=1)
 SCRIPT = 'name = "x"\n'
