--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -240,7 +240,7 @@
             return
         delay = timedelta(milliseconds=self.random.uniform(0.2, 20))
         if self.random.random() < 0.01:
-            delay += SECOND * self.random.uniform(0, 4)
+            delay += SECOND * self.random.uniform(0, 4)  # a rare long delay
 
         def arrive() -> None:
             target = self.processes[recipient]
--- a/bramblestile/work/scheduler.py
+++ b/bramblestile/work/scheduler.py
@@ -60,7 +60,8 @@
 MIN_POLL_INTERVAL = timedelta(milliseconds=200)
 RECONNECT_WINDOW = timedelta(seconds=4)  # longer than a client's longest pause before it reconnects
 LOAD_SAMPLE_INTERVAL = RECONNECT_WINDOW / 20
-INITIAL_OBSERVATION = timedelta(seconds=1)  # of all machines before the first one leaves
+# Of all machines before the first one leaves; a new leader of a plan that has begun waits RECONNECT_WINDOW instead.
+INITIAL_OBSERVATION = timedelta(seconds=1)
 Proposal = tuple[str, str]
 
 
