--- a/vanegw/__init__.py
+++ b/vanegw/__init__.py
@@ -1,4 +1,7 @@
-"""vanegw decides where a relay places long-lived connections. Start at ``vanegw.interface``."""
+"""The decision module: where a balancer places long-lived connections.
+
+``vanegw.interface`` has the types that callers use, ``vanegw.rules`` the decisions.
+"""
 
 from vanegw.rules import Balancer
 
--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -1,7 +1,7 @@
-"""What a relay and the balancer say to each other: settings, events and actions.
+"""The public types of the decision module: settings, events and actions.
 
-A relay builds one ``Balancer(settings, seed)`` (in ``vanegw.rules``), hands each event to
-``Balancer.handle(now_us, event)`` and carries out the actions that come back, in order.
+The caller builds one ``Balancer(settings, seed)`` (in ``vanegw.rules``), passes each event to
+``Balancer.handle(now_us, event)`` and carries out the returned actions, in order.
 Times are integer microseconds of one monotonic clock whose origin does not matter.
 """
 
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be run again: always, inside a group that drops repeats, or never."""
+    """Whether a request may be repeated: always, only among backends that recognise the repeat, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -21,7 +21,7 @@
 
 
 class Scope(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """Which backends recognise and drop a repeat of a keyed request: all, those of its zone, or those of its cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,16 +29,16 @@
 
 
 class State(Enum):
-    """What the backend list says of a backend."""
+    """The state of a backend in the backend list."""
 
     RUNNING = "running"
     DRAINING = "draining"
-    CLOSED = "closed"  # takes nothing new; what it holds stays
+    CLOSED = "closed"  # accepts nothing new; its open connections stay
     GONE = "gone"
 
 
 class Status(Enum):
-    """How an attempt or a probe ended. The second value tells whether the request may have run."""
+    """How an attempt or a probe ended, and whether the request may have run."""
 
     SERVED = ("served", True)
     ERROR = ("error", True)
@@ -51,11 +51,16 @@
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the backend may have acted on the request."""
         return self.value[1]
 
 
 class ListMode(Enum):
-    """How a list event relates to the list held so far."""
+    """How a list event relates to the list that is held.
+
+    CHANGES updates entries of it, COMPLETE replaces it, and RESTORED replaces it with the list known at the start.
+    UNAVAILABLE means that the list could not be fetched.
+    """
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -64,9 +69,12 @@
 
 
 class NoteKind(Enum):
-    """LOAD: the connection's load now (us of work a second). DELAY: ms a message takes at the backend.
-    SILENCE: ms for which the backend has returned nothing on this connection, though it was asked to.
-    HUSH: the same, but on none of this relay's connections."""
+    """What a note measures.
+
+    LOAD: the connection's present load, in microseconds of work a second. DELAY: milliseconds that a message takes at
+    the backend. SILENCE: milliseconds for which the backend has returned nothing on this connection though a reply is
+    due. HUSH: the same on all of this balancer's connections to the backend.
+    """
 
     LOAD = 1
     DELAY = 2
@@ -74,57 +82,71 @@
     HUSH = 4
 
 
-def _check(ok: bool, name: str, value: object) -> None:
-    if not ok:
-        raise ValueError(f"{name}: {value!r} makes no sense")
+def _require(is_valid: bool, name: str, value: object) -> None:
+    if not is_valid:
+        raise ValueError(f"{name}: {value!r} is not a valid value")
 
 
-def _number(value: object) -> bool:
+def _is_finite_number(value: object) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
 
 
-def _at_least(owner: object, low: float, *names: str) -> None:
+def _require_at_least(owner: object, minimum: float, *names: str) -> None:
+    """Raise ValueError unless each of these attributes is a finite number that is not below the minimum."""
     for name in names:
         value = getattr(owner, name)
-        _check(_number(value) and value >= low, name, value)
+        _require(_is_finite_number(value) and value >= minimum, name, value)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: its aims, its worth and whether it may be repeated."""
+    """A class of requests: its objectives, its worth and whether it may be repeated.
+
+    Raises ValueError for a field out of range; the message begins with the field's name.
+    """
 
     name: str
-    objective_us: int
-    deadline_us: int
+    objective_us: int  # within which a connection should be set up
+    deadline_us: int  # after which a client gives up
     effect: Effect = Effect.SAFE
     dedup_scope: Scope = Scope.ALL
-    memory_span_us: int = 0
+    memory_span_us: int = 0  # for which backends remember a keyed request, to drop its repeats
     worth: float = 1.0
-    message_aim_us: float = 0.0
+    message_aim_us: float = 0.0  # that a message should take at most; 0: no aim
 
     def __post_init__(self) -> None:
-        _check(isinstance(self.name, str) and self.name != "", "name", self.name)
-        _check(isinstance(self.effect, Effect), "effect", self.effect)
-        _check(isinstance(self.dedup_scope, Scope), "dedup_scope", self.dedup_scope)
-        _at_least(self, 1, "objective_us", "deadline_us")
-        _at_least(self, 0, "memory_span_us", "worth", "message_aim_us")
+        _require(isinstance(self.name, str) and self.name != "", "name", self.name)
+        _require(isinstance(self.effect, Effect), "effect", self.effect)
+        _require(isinstance(self.dedup_scope, Scope), "dedup_scope", self.dedup_scope)
+        _require_at_least(self, 1, "objective_us", "deadline_us")
+        _require_at_least(self, 0, "memory_span_us", "worth", "message_aim_us")
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer: the open connections, over all relays, that its share pays for (0: not told)."""
+    """A customer and its quota of open connections, over all balancers (0: no quota).
+
+    Raises ValueError for a field out of range; the message begins with the field's name.
+    """
 
     name: str
     portion: float = 0.0
     quota_connections: float = 0.0
 
     def __post_init__(self) -> None:
-        _at_least(self, 0, "portion", "quota_connections")
+        _require_at_least(self, 0, "portion", "quota_connections")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a relay is told at its start. Unset prices count as nothing."""
+    """The settings of a balancer. Prices that are not set are 0.
+
+    A backend is cold for ``cold_us`` after its start, while its capacity grows from the part ``cold_from`` to the
+    whole. Within ``fall_us``, all balancers together may open ``fall_multiple`` x ``fall_us`` / ``cold_us`` times the
+    connections that the cold backends can hold by then.
+
+    Raises ValueError for a field out of range; the message begins with the field's name.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -152,11 +174,11 @@
     must_ask_in_us: int = 10_000_000
 
     def __post_init__(self) -> None:
-        _check(len(self.classes) > 0, "classes", self.classes)
-        names = [c.name for c in self.classes]
-        _check(len(set(names)) == len(names), "classes", names)
-        _at_least(self, 1, "balancers", "try_limit", "must_ask_in_us")
-        _at_least(
+        _require(len(self.classes) > 0, "classes", self.classes)
+        names = [request_class.name for request_class in self.classes]
+        _require(len(set(names)) == len(names), "classes", names)
+        _require_at_least(self, 1, "balancers", "try_limit", "must_ask_in_us")
+        _require_at_least(
             self,
             0,
             "max_retry_after_us",
@@ -169,12 +191,12 @@
             "fall_us",
             "drain_grace_us",
         )
-        _check(_number(self.cold_from) and 0 < self.cold_from <= 1, "cold_from", self.cold_from)
+        _require(_is_finite_number(self.cold_from) and 0 < self.cold_from <= 1, "cold_from", self.cold_from)
 
 
 @dataclass(slots=True, frozen=True)
 class Backend:
-    """One entry of the backend list. ``started_us`` is None where it started long ago."""
+    """One entry of the backend list. ``started_us`` is None for a backend that started long ago."""
 
     name: str
     zone: str = ""
@@ -187,7 +209,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """A backend's load report; what is not reported is None."""
+    """A backend's load report; a figure that is not reported is None.
+
+    ``load`` and ``utilisation`` are shares of the backend's capacity, ``queue`` and ``inflight`` are counts.
+    """
 
     load: float | None = None
     utilisation: float | None = None
@@ -199,12 +224,12 @@
     error_rate: float | None = None
 
 
-# Events: what happened at the relay.
+# Events, which the caller passes to the balancer.
 
 
 @dataclass(slots=True, frozen=True)
 class BackendList:
-    """The list of backends, or the news that it could not be had."""
+    """The list of backends, changes to it, or the failure to fetch it."""
 
     mode: ListMode
     backends: tuple[Backend, ...] = ()
@@ -212,7 +237,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client asks for a connection. ``remaining_us`` is what is left before it gives up."""
+    """A client asks for a connection. ``remaining_us`` is the time left before it gives up."""
 
     id: str
     cls: str
@@ -228,7 +253,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Inherited:
-    """A connection that was open through this relay when the balancer started."""
+    """A connection that was already open when the balancer was created."""
 
     request: Request
     backend: str
@@ -236,7 +261,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Opened:
-    """The connection stands; it stays with its backend until an Outcome ends it."""
+    """An attempt has opened its connection, which stays with its backend until an Outcome ends it."""
 
     id: str
     attempt: int
@@ -246,7 +271,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """News of an attempt in flight."""
+    """A measurement on an attempt in flight or an open connection. The kind gives the unit of ``value``."""
 
     id: str
     attempt: int
@@ -257,7 +282,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """An attempt's end. ``finished``: the request is over and needs no answer."""
+    """An attempt has ended. ``finished``: the request is over and needs no answer."""
 
     id: str
     attempt: int
@@ -270,14 +295,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientGone:
-    """The client has left; no answer is owed."""
+    """The client has gone away and needs no answer."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """The answer to one Probe, or the reason there is none."""
+    """The answer to one Probe, or the reason why there is none."""
 
     backend: str
     status: Status
@@ -287,7 +312,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A SetTimer's time has come."""
+    """The time of a SetTimer has passed."""
 
     token: str
 
@@ -295,12 +320,12 @@
 Event = BackendList | Request | Inherited | Opened | Note | Outcome | ClientGone | ProbeResult | TimerFired
 
 
-# Actions: what the relay is to do.
+# Actions, which the caller carries out.
 
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """Send the request to a backend and give that attempt up at ``until_us``."""
+    """Send the request to a backend, and abandon that attempt at ``until_us``."""
 
     id: str
     backend: str
@@ -317,7 +342,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless."""
+    """Final answer: refused; another try is harmless, after ``retry_after_us``."""
 
     id: str
     retry_after_us: int = 0
@@ -325,33 +350,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """End an open connection politely; its client comes back as a new request."""
+    """End an open connection gracefully; its client comes back as a new request."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a backend for its load."""
+    """Request a load report from a backend."""
 
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the backend list's changes from now on."""
+    """Request the changes of the backend list from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired after this time."""
+    """Request a TimerFired after this time."""
 
     after_us: int
     token: str
