--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -53,7 +53,7 @@
 def parts(hosts: int, rounds: int, batch: int) -> tuple[float, float]:
     """Microseconds of CPU a request for all that tracing touches, without and with it, in one thread: the decisions,
     the seam, and the recorder with its writing. Here nothing of the network's noise is in it."""
-    settings = settings_form.settings(SETTINGS)[0]
+    settings = settings_form.parse_settings(SETTINGS)[0]
     with tempfile.TemporaryDirectory() as folder:
         tracing, counters = Tracing(), Counters()
         recorder = Recorder(Plan(Path(folder), "n1", "-"), counters)
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -231,7 +231,7 @@
     if not top.has("settings"):
         raise ConfigError(f"{top.key('settings')}: missing")
     try:
-        made, _ = settings_form.settings(dict(top.section("settings").values))
+        made, _ = settings_form.parse_settings(dict(top.section("settings").values))
     except (settings_form.WireError, ValueError) as error:
         raise ConfigError(f"{top.key('settings')}." + str(error).removeprefix("setup: ")) from None
     return made
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter by small hand-written batches."""
+"""The simulator's adapter, with small hand-written batches of messages."""
 
 from __future__ import annotations
 
@@ -35,62 +35,63 @@
 ROW = ["a", 0, 1, "s1", None, "k", "Running"]
 
 
-def play(*lines: object) -> list[list[object]]:
-    out: list[str] = []
-    texts = [line if isinstance(line, str) else json.dumps(line) for line in lines]
-    adapter.run(texts, out.append, lambda: None)
-    return [json.loads(line) for line in out]
+def run_adapter(*messages: object) -> list[list[object]]:
+    """Pass messages, or raw lines, to the adapter and return its replies."""
+    replies: list[str] = []
+    lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
+    adapter.run(lines, replies.append, lambda: None)
+    return [json.loads(reply) for reply in replies]
 
 
-KNOWN = ["PEERS_KNOWN", 3, "restored", 1, 0]
-START = [["TURN", 5], ["BEGIN", 3, 7, SETUP], ["TABLE", 0, [ROW]], KNOWN, ["GO"]]
-ASK = ["INBOUND", 3, "r", "c", None, None, 3200000]
+BACKEND_LIST = ["PEERS_KNOWN", 3, "restored", 1, 0]
+START = [["TURN", 5], ["BEGIN", 3, 7, SETUP], ["TABLE", 0, [ROW]], BACKEND_LIST, ["GO"]]
+REQUEST = ["INBOUND", 3, "r", "c", None, None, 3200000]
 
 
-def test_empty_batch_has_an_empty_reply() -> None:
-    assert play(["TURN", 1], ["GO"]) == [["END"]]
+def test_empty_batch_gets_an_empty_reply() -> None:
+    assert run_adapter(["TURN", 1], ["GO"]) == [["END"]]
 
 
-def test_a_request_is_probed_for_then_sent_and_unknown_report_fields_are_skipped() -> None:
+def test_request_leads_to_a_probe_and_an_attempt_and_unknown_report_fields_are_skipped() -> None:
     pong = ["PONG", 3, "s1", "pass", 10, [9.9, 0.4]]
-    reply = play(*START, ["TURN", 10], ASK, ["GO"], ["TURN", 20], pong, ["GO"])
+    reply = run_adapter(*START, ["TURN", 10], REQUEST, ["GO"], ["TURN", 20], pong, ["GO"])
     assert [r[0] for r in reply] == ["END", "PING", "SET_TIMER", "END", "ATTEMPT", "END"]
     assert reply[4][1:3] == [3, "r"] and reply[4][4] == "s1"
 
 
-def test_tables_are_found_by_the_order_of_events() -> None:
-    other = [*ROW]
-    other[3] = "s2"
-    lines = [
+def test_list_event_uses_the_latest_table_of_its_number() -> None:
+    other_row = [*ROW]
+    other_row[3] = "s2"
+    messages = [
         ["TURN", 5],
         ["BEGIN", 1, 7, SETUP],
         ["TABLE", 0, [ROW]],
         ["PEERS_KNOWN", 1, "restored", 1, 0],
         ["BEGIN", 2, 7, SETUP],
-        ["TABLE", 0, [other]],
+        ["TABLE", 0, [other_row]],
         ["PEERS_KNOWN", 2, "restored", 1, 0],
         ["INBOUND", 1, "p", "c", None, None, 3200000],
         ["INBOUND", 2, "q", "c", None, None, 3200000],
         ["GO"],
     ]
-    assert [r[1:] for r in play(*lines) if r[0] == "PING"] == [[1, "s1"], [2, "s2"]]
+    assert [r[1:] for r in run_adapter(*messages) if r[0] == "PING"] == [[1, "s1"], [2, "s2"]]
 
 
-def test_detach_and_begin_in_one_batch_start_from_nothing() -> None:
-    reply = play(*START, ["TURN", 9], ["DETACH", 3], ["BEGIN", 3, 8, SETUP], KNOWN, ASK, ["GO"])
+def test_detach_and_begin_in_one_batch_start_without_state() -> None:
+    reply = run_adapter(*START, ["TURN", 9], ["DETACH", 3], ["BEGIN", 3, 8, SETUP], BACKEND_LIST, REQUEST, ["GO"])
     assert [r[0] for r in reply].count("PING") == 1
 
 
-def test_an_exception_in_the_decisions_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fail(*_: object) -> None:
         raise IndexError("out of range")
 
-    monkeypatch.setattr("vanegw.rules.Balancer._on_request", broken)
-    assert ["DIE", 3, "INBOUND: IndexError: out of range"] in play(*START, ["TURN", 10], ASK, ["GO"])
+    monkeypatch.setattr("vanegw.rules.Balancer._on_request", fail)
+    assert ["DIE", 3, "INBOUND: IndexError: out of range"] in run_adapter(*START, ["TURN", 10], REQUEST, ["GO"])
 
 
 @pytest.mark.parametrize(
-    ("line", "reason"),
+    ("message", "reason"),
     [
         ("{", "not JSON"),
         (["NEWS", 3], "unknown message 'NEWS'"),
@@ -102,37 +103,37 @@
         (["TURN", 7], "GO is missing"),
     ],
 )
-def test_bad_lines_are_named(line: object, reason: str) -> None:
+def test_malformed_message_is_reported_with_its_line_number(message: object, reason: str) -> None:
     with pytest.raises(wire.WireError, match=f"^line 7: .*{reason}"):
-        play(*START, ["TURN", 6], line, ["GO"])
+        run_adapter(*START, ["TURN", 6], message, ["GO"])
 
 
-def test_the_program_says_what_is_wrong_and_keeps_standard_output_clean() -> None:
-    run = subprocess.run(
+def test_program_reports_faults_on_standard_error_only() -> None:
+    malformed = subprocess.run(
         [sys.executable, "-m", "vanegw.adapter"],
         input='["TURN",1]\nnonsense\n',
         text=True,
         capture_output=True,
         timeout=60,
     )
-    assert run.returncode != 0 and run.stdout == "" and "line 2: not JSON" in run.stderr
-    cut = subprocess.run(
+    assert malformed.returncode != 0 and malformed.stdout == "" and "line 2: not JSON" in malformed.stderr
+    incomplete = subprocess.run(
         [sys.executable, "-m", "vanegw.adapter"], input='["TURN",1]\n', text=True, capture_output=True, timeout=60
     )
-    assert cut.returncode != 0 and "GO is missing" in cut.stderr
+    assert incomplete.returncode != 0 and "GO is missing" in incomplete.stderr
 
 
-def test_settings_that_make_no_sense_are_named() -> None:
+def test_invalid_setting_is_named() -> None:
     with pytest.raises(wire.WireError, match="effect"):
-        play(["TURN", 1], ["BEGIN", 1, 1, SETUP | {"classes": [SETUP["classes"][0] | {"effect": "odd"}]}])  # type: ignore[index]
+        run_adapter(["TURN", 1], ["BEGIN", 1, 1, SETUP | {"classes": [SETUP["classes"][0] | {"effect": "odd"}]}])  # type: ignore[index]
     with pytest.raises(wire.WireError, match="line 2: classes"):
-        play(["TURN", 1], ["BEGIN", 1, 1, SETUP | {"classes": []}])
+        run_adapter(["TURN", 1], ["BEGIN", 1, 1, SETUP | {"classes": []}])
 
 
 def test_output_does_not_depend_on_hash_seeds() -> None:
-    lines: list[object] = [*START, ["TURN", 10]]
-    lines += [["INBOUND", 3, f"r{n}", "c", None, None, 3200000] for n in range(20)]
-    text = "".join(json.dumps(line) + "\n" for line in [*lines, ["GO"]])
+    messages: list[object] = [*START, ["TURN", 10]]
+    messages += [["INBOUND", 3, f"r{n}", "c", None, None, 3200000] for n in range(20)]
+    text = "".join(json.dumps(message) + "\n" for message in [*messages, ["GO"]])
     command = [sys.executable, "-m", "vanegw.adapter"]
     replies = [
         subprocess.run(
--- a/vanegw/adapter.py
+++ b/vanegw/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts balancers on the simulator's wire: reads batches, dispatches events, writes replies. No decisions."""
+"""Runs balancers for the simulator: reads batches of messages, dispatches events, writes replies. No decisions."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One relay's balancer and the order of its load reports. Nothing of it is shared."""
+    """One simulated balancer, and the names of the values in its load reports. Instances share nothing."""
 
     balancer: Balancer
     report_names: list[str]
 
 
 @dataclass(slots=True)
-class Host:
-    """The instances of this process and the backend tables of the stream."""
+class AdapterSession:
+    """The state of one stream: its instances, its backend tables, and the time of the batch that is being read."""
 
     write: Callable[[str], None]
     instances: dict[int, Instance] = field(default_factory=dict)
     tables: dict[int, tuple[api.Backend, ...]] = field(default_factory=dict)
     now_us: int | None = None
 
-    def line(self, line: str) -> bool:
-        """Takes one line; True when it ends a batch, whose reply has then been written."""
-        name, got = wire.read(line)
+    def process_line(self, line: str) -> bool:
+        """Process one line; return whether it ended a batch, whose reply has then been written."""
+        name, fields = wire.parse_line(line)
         if name == "TURN":
             if self.now_us is not None:
                 raise wire.WireError("TURN inside a batch: GO is missing")
-            self.now_us = got["t_us"]
+            self.now_us = fields["t_us"]
         elif self.now_us is None:
             raise wire.WireError(f"{name} outside a batch: TURN is missing")
         elif name == "GO":
@@ -43,61 +43,66 @@
             self.write('["END"]\n')
             return True
         elif name == "TABLE":
-            self.tables[got["sheet"]] = wire.entries(got["rows_in"])
+            self.tables[fields["sheet"]] = wire.parse_backends(fields["rows_in"])
         elif name == "BEGIN":
-            self._begin(got)
+            self._begin_instance(fields)
         elif name == "DETACH":
-            if self.instances.pop(got["i"], None) is None:
-                raise wire.WireError(f"DETACH: unknown instance {got['i']}")
+            if self.instances.pop(fields["i"], None) is None:
+                raise wire.WireError(f"DETACH: unknown instance {fields['i']}")
         else:
-            self._event(name, got)
+            self._handle_event(name, fields)
         return False
 
-    def _begin(self, got: dict[str, Any]) -> None:
-        settings, names = wire.settings(got["setup"])
-        self.instances[got["i"]] = Instance(Balancer(settings, got["prng"]), names)
+    def _begin_instance(self, fields: dict[str, Any]) -> None:
+        settings, report_names = wire.parse_settings(fields["setup"])
+        self.instances[fields["i"]] = Instance(Balancer(settings, fields["prng"]), report_names)
 
-    def _list(self, got: dict[str, Any]) -> api.BackendList:
-        mode = wire.list_mode(got["mode"])
+    def _backend_list(self, fields: dict[str, Any]) -> api.BackendList:
+        mode = wire.parse_list_mode(fields["mode"])
         if mode is api.ListMode.UNAVAILABLE:
             return api.BackendList(mode)
-        if got["sheet"] not in self.tables:
-            raise wire.WireError(f"PEERS_KNOWN: no TABLE {got['sheet']}")
-        return api.BackendList(mode, self.tables[got["sheet"]])
+        if fields["sheet"] not in self.tables:
+            raise wire.WireError(f"PEERS_KNOWN: no TABLE {fields['sheet']}")
+        return api.BackendList(mode, self.tables[fields["sheet"]])
 
-    def _event(self, name: str, got: dict[str, Any]) -> None:
-        instance = self.instances.get(got["i"])
+    def _handle_event(self, name: str, fields: dict[str, Any]) -> None:
+        instance = self.instances.get(fields["i"])
         if instance is None:
-            raise wire.WireError(f"{name}: unknown instance {got['i']}")
-        event = self._list(got) if name == "PEERS_KNOWN" else wire.event(name, got, instance.report_names)
+            raise wire.WireError(f"{name}: unknown instance {fields['i']}")
+        event = (
+            self._backend_list(fields)
+            if name == "PEERS_KNOWN"
+            else wire.parse_event(name, fields, instance.report_names)
+        )
         if event is None or self.now_us is None:
             return
         try:
             actions = instance.balancer.handle(self.now_us, event)
         except Exception as error:
-            self.write(wire.fault(got["i"], f"{name}: {type(error).__name__}: {error}") + "\n")
+            self.write(wire.format_fault(fields["i"], f"{name}: {type(error).__name__}: {error}") + "\n")
             return
         for action in actions:
-            self.write(wire.write(got["i"], action) + "\n")
+            self.write(wire.format_action(fields["i"], action) + "\n")
 
 
 def run(lines: Iterable[str], write: Callable[[str], None], flush: Callable[[], None]) -> None:
-    """Plays a whole stream. Raises WireError with the line's number when the wire is not kept."""
-    host = Host(write)
+    """Process a whole stream, and flush after each batch. Raises WireError with the number of the line at fault."""
+    session = AdapterSession(write)
     number = 0
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            if host.line(line):
+            if session.process_line(line):
                 flush()
         except (wire.WireError, ValueError) as error:
             raise wire.WireError(f"line {number}: {error}") from None
-    if host.now_us is not None:
+    if session.now_us is not None:
         raise wire.WireError(f"line {number}: the input ends inside a batch: GO is missing")
 
 
 def main() -> int:
+    """Serve standard input and output; return the exit status."""
     reply: list[str] = []
 
     def flush() -> None:
