--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -17,9 +17,9 @@
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.memory.counters import Counters
 from bramblestile.tracing import Tracer, Tracing
+from vanegw import handover
 from vanegw import interface as api
-from vanegw import passing
-from vanegw.witness import View, Witness
+from vanegw.recording import DecisionSnapshot, RecordingBalancer
 
 Choice = api.Attempt | api.Refuse | api.Fail
 LAST_WAIT = timedelta(milliseconds=100)  # past its deadline a request waits hardly longer for the module
@@ -81,7 +81,7 @@
         tracing: Tracing | None = None,
         name: str = "",
     ) -> None:
-        self._balancer = Witness(settings, seed)
+        self._balancer = RecordingBalancer(settings, seed)
         self._tracing = tracing or Tracing()
         self._name = name  # the front's, for the trace
         self._log = Log(front=name) if name else Log()
@@ -107,14 +107,14 @@
     def learned(self) -> list[dict[str, Any]]:
         """What the module knows, for the process that takes this one's place."""
         with self._lock:
-            return passing.learned(self._balancer)
+            return handover.export_state(self._balancer)
 
     def recall(self, part: dict[str, Any]) -> None:
         """A part of what the process before this one knew. It may be of another version, and what is not understood is
         served on without: it must not end the thread that brought it."""
         try:
             with self._lock:
-                passing.recall(self._balancer, part)
+                handover.import_state(self._balancer, part)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             self._counters.add("recall_refused")
             self._log.warning("recall", text=f"served on without: {error!r}")
@@ -153,7 +153,7 @@
         """For each host its load as last reported, and whether it is masked for its failures."""
         at = micros(now())
         with self._lock:
-            return {name: (known.load, known.suspect_until > at) for name, known in self._balancer.backends.items()}
+            return {name: (known.load, known.masked_until_us > at) for name, known in self._balancer.backends.items()}
 
     def relist(self, names: Sequence[str]) -> None:
         """Tells the module how these hosts are seen now."""
@@ -171,7 +171,7 @@
         tracer = self._tracing.to
         with self._lock:
             at = now()
-            self._balancer.watching, self._balancer.belief = tracer.watching, tracer.belief
+            self._balancer.recording, self._balancer.make_candidate = tracer.watching, tracer.belief
             try:
                 actions = self._balancer.handle(micros(at), event)
             except Exception:
@@ -179,8 +179,8 @@
                 self._counters.add("decision_faults")
                 self._log.exception("decision fault", told=type(event).__name__)
                 return
-            views: Sequence[View] = self._balancer.views
-            counted = self._balancer.counted
+            views: Sequence[DecisionSnapshot] = self._balancer.decisions
+            counted = self._balancer.counter_names
             for action in actions:
                 if isinstance(action, (api.Attempt, api.Refuse, api.Fail)):
                     visit = self._visits.get(action.id)
@@ -196,7 +196,12 @@
             self._carry_out(action)
 
     def _trace(
-        self, tracer: Tracer, at: timedelta, event: api.Event, views: Sequence[View], actions: Sequence[api.Action]
+        self,
+        tracer: Tracer,
+        at: timedelta,
+        event: api.Event,
+        views: Sequence[DecisionSnapshot],
+        actions: Sequence[api.Action],
     ) -> None:
         """Tells the tracer what the module heard and what it made of it, outside the lock."""
         if isinstance(event, api.ProbeResult):
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -29,7 +29,7 @@
 from bramblestile.trace.sampling import Sampler
 from bramblestile.tracing import Tracer
 from vanegw import interface as api
-from vanegw.witness import View, rounded
+from vanegw.recording import DecisionSnapshot, round_to_fraction
 
 LEVEL = 1  # zstandard's: the daemon's core has better to do
 BLOCK = 4096  # records of one block: encoding one holds the interpreter for some 3 ms at a time
@@ -97,19 +97,19 @@
             )
         )
 
-    def decision(self, at: timedelta, view: View) -> None:
+    def decision(self, at: timedelta, view: DecisionSnapshot) -> None:
         self._put(
             records.Decision(
                 view.id,
-                view.what,
-                view.why,
-                view.number,
-                view.host,
+                view.decision,
+                view.cause,
+                view.attempt,
+                view.backend,
                 None if view.until_us is None else view.until_us - at // MICROSECOND,
-                view.wait_us,
-                rounded(view.average, 1000),
-                rounded(view.lateness, 1000),
-                view.beliefs,
+                view.retry_after_us,
+                round_to_fraction(view.average_load, 1000),
+                round_to_fraction(view.timeout_rate, 1000),
+                view.candidates,
                 at=at // MICROSECOND,
             )
         )
@@ -169,7 +169,9 @@
 
     def note(self, at: timedelta, note: api.Note) -> None:
         self._put(
-            records.Note(note.id, note.backend, note.kind.name.lower(), rounded(note.value, 1000), at=at // MICROSECOND)
+            records.Note(
+                note.id, note.backend, note.kind.name.lower(), round_to_fraction(note.value, 1000), at=at // MICROSECOND
+            )
         )
 
     def moved(self, at: timedelta, id: str, host: str, reason: str) -> None:
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -11,18 +11,18 @@
 from typing import Any
 
 from vanegw import interface as api
-from vanegw.witness import Belief, View
+from vanegw.recording import CandidateSnapshot, DecisionSnapshot
 
 
 class Tracer:
     """Hears what happens. This one does nothing: tracing is off. Times are spans since the epoch."""
 
     watching = False  # whether decisions are to come with what the module believed
-    belief: Callable[..., Any] = Belief  # what they hold of each host is made by this
+    belief: Callable[..., Any] = CandidateSnapshot  # what they hold of each host is made by this
 
     def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None: ...
 
-    def decision(self, at: timedelta, view: View) -> None: ...
+    def decision(self, at: timedelta, view: DecisionSnapshot) -> None: ...
 
     def probe_sent(self, at: timedelta, front: str, host: str) -> None: ...
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -19,7 +19,7 @@
 from bramblestile.trace.recorder import Shaper
 from bramblestile.trace.records import Record
 from vanegw import interface as api
-from vanegw.witness import Witness
+from vanegw.recording import RecordingBalancer
 
 CLASSES = (
     api.RequestClass("preview-stream", objective_us=400_000, deadline_us=1_600_000, message_aim_us=60_000),
@@ -85,9 +85,9 @@
             drain_grace_us=250_000,
             max_retry_after_us=1_000_000,
         )
-        self.balancer = Witness(settings, self.seed)
+        self.balancer = RecordingBalancer(settings, self.seed)
         self.shape = Shaper(self.out.append)
-        self.balancer.watching, self.balancer.belief = True, self.shape.belief
+        self.balancer.recording, self.balancer.make_candidate = True, self.shape.belief
         self.now = START
         self.queue: list[tuple[int, int, str, Any]] = []
         self.count = itertools.count()
@@ -123,7 +123,7 @@
             self.shape.note(at, event)
         elif isinstance(event, api.BackendList):
             self.shape.listed(at, "lines", event)
-        for view in self.balancer.views:
+        for view in self.balancer.decisions:
             self.shape.decision(at, view)
         for action in actions:
             self.carry_out(action, event)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -85,7 +85,7 @@
 @BOTH
 def test_a_mute_connection_is_moved(wire: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A host that runs but returns nothing must not keep its clients."""
-    monkeypatch.setattr(rules, "MUTE_MS", 300.0)
+    monkeypatch.setattr(rules, "CONNECTION_SILENCE_MS", 300.0)
     ping = "c1 send PING\nb0 expect PING\n"
     Stage(wire).play(STANDS + ping + "c1 moved\nb0 ends\nwait moved 1")
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal orders of events."""
+"""The four rules of vanegw/rules.py hold for random sequences of legal events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.relay import SETTINGS
+from tests.balancer_driver import SETTINGS
 from vanegw import Balancer
 from vanegw import interface as api
 
@@ -18,43 +18,47 @@
     api.RequestClass("zone", 500_000, 2_000_000, api.Effect.KEYED, api.Scope.ZONE, 900_000),
     api.RequestClass("cell", 500_000, 2_000_000, api.Effect.KEYED, api.Scope.CELL, 900_000),
 )
-RULES = replace(SETTINGS, classes=CLASSES, groups=True, list_on_request=True)
-BEFORE_OPEN = [s for s in api.Status if s not in (api.Status.SERVED, api.Status.CANCELLED)]
-PROBED = (api.Status.SERVED, api.Status.TIMED_OUT, api.Status.NO_ROOM)
+RULE_SETTINGS = replace(SETTINGS, classes=CLASSES, groups=True, list_on_request=True)
+STATUSES_BEFORE_OPEN = [s for s in api.Status if s not in (api.Status.SERVED, api.Status.CANCELLED)]
+PROBE_STATUSES = (api.Status.SERVED, api.Status.TIMED_OUT, api.Status.NO_ROOM)
 
 
 @dataclass
-class Sent:
+class SentAttempt:
+    """An attempt that the balancer has made. ``status`` is None while it is in flight."""
+
     backend: str
-    at: int
-    until: int
+    sent_us: int
+    until_us: int
     status: api.Status | None = None
 
 
-class Judge:
-    """Plays the part of relay, clients and backends, and checks each action against the rules."""
+class RuleChecker:
+    """Simulates the caller, the clients and the backends, and checks each action against the rules."""
 
-    def __init__(self, draw: st.DataObject) -> None:
-        self.draw = draw
-        self.now = draw.draw(st.integers(0, 2**50))
-        self.balancer = Balancer(RULES, draw.draw(st.integers(0, 2**32)))
+    def __init__(self, data: st.DataObject) -> None:
+        self.data = data
+        self.now_us = data.draw(st.integers(0, 2**50))
+        self.balancer = Balancer(RULE_SETTINGS, data.draw(st.integers(0, 2**32)))
         self.fleet: dict[str, api.Backend] = {}
         self.requests: dict[str, api.Request] = {}
-        self.deadline: dict[str, int] = {}
-        self.sent: dict[str, list[Sent]] = {}
-        self.over: set[str] = set()
-        self.stands: set[str] = set()
+        self.deadlines_us: dict[str, int] = {}
+        self.attempts: dict[str, list[SentAttempt]] = {}
+        self.finished: set[str] = set()
+        self.open_connections: set[str] = set()
         self.timers: list[tuple[int, str]] = []
         self.probes: list[str] = []
 
-    def tell(self, event: api.Event) -> None:
-        for action in self.balancer.handle(self.now, event):
-            self.check(action)
+    def handle(self, event: api.Event) -> None:
+        """Pass an event to the balancer and check its actions."""
+        for action in self.balancer.handle(self.now_us, event):
+            self.check_action(action)
 
-    def check(self, action: api.Action) -> None:
+    def check_action(self, action: api.Action) -> None:
+        """Check one action against the rules and keep what it starts or ends."""
         if isinstance(action, api.SetTimer):
             assert 0 < action.after_us <= 71 * 60 * 1_000_000 and len(action.token) <= 64
-            self.timers.append((self.now + action.after_us, action.token))
+            self.timers.append((self.now_us + action.after_us, action.token))
         elif isinstance(action, api.Probe):
             assert action.backend in self.fleet
             assert action.backend not in self.probes
@@ -62,165 +66,184 @@
         elif isinstance(action, api.Attempt):
             self.check_attempt(action)
         elif isinstance(action, (api.Refuse, api.Fail)):
-            assert action.id not in self.over and action.id not in self.stands
-            assert not self.sent[action.id] or self.sent[action.id][-1].status is not None
+            assert action.id not in self.finished and action.id not in self.open_connections
+            assert not self.attempts[action.id] or self.attempts[action.id][-1].status is not None
             if isinstance(action, api.Refuse):
-                ran = [s for s in self.sent[action.id] if s.status and s.status.may_have_run]
-                cls = self.cls(action.id)
+                may_have_run = [a for a in self.attempts[action.id] if a.status and a.status.may_have_run]
+                request_class = self.class_of(action.id)
                 assert (
-                    not ran
-                    or cls.effect is api.Effect.SAFE
-                    or (cls.effect is api.Effect.KEYED and cls.dedup_scope is api.Scope.ALL)
+                    not may_have_run
+                    or request_class.effect is api.Effect.SAFE
+                    or (request_class.effect is api.Effect.KEYED and request_class.dedup_scope is api.Scope.ALL)
                 )
-            self.over.add(action.id)
+            self.finished.add(action.id)
         elif isinstance(action, api.Move):
-            assert action.id in self.stands and action.id not in self.over
-            self.over.add(action.id)
+            assert action.id in self.open_connections and action.id not in self.finished
+            self.finished.add(action.id)
 
     def check_attempt(self, action: api.Attempt) -> None:
-        tries, cls = self.sent[action.id], self.cls(action.id)
+        """Check that an attempt is allowed where and when it is made."""
+        attempts, request_class = self.attempts[action.id], self.class_of(action.id)
         target = self.fleet[action.backend]
-        assert action.id not in self.over and action.id not in self.stands
-        assert len(tries) < RULES.try_limit
-        assert not tries or tries[-1].status is not None  # never two out at once
-        assert target.state is api.State.RUNNING  # rule 3, stricter than the grace
-        assert self.now < action.until_us <= self.deadline[action.id]
-        for earlier in tries:
-            if earlier.status and earlier.status.may_have_run and cls.effect is not api.Effect.SAFE:
-                assert cls.effect is api.Effect.KEYED
-                assert self.now - earlier.at < cls.memory_span_us
-                first = self.seen[earlier.backend]
-                if cls.dedup_scope is api.Scope.ZONE:
+        assert action.id not in self.finished and action.id not in self.open_connections
+        assert len(attempts) < RULE_SETTINGS.try_limit
+        assert not attempts or attempts[-1].status is not None  # never two in flight
+        assert target.state is api.State.RUNNING  # rule 3, without any grace period
+        assert self.now_us < action.until_us <= self.deadlines_us[action.id]
+        for earlier in attempts:
+            if earlier.status and earlier.status.may_have_run and request_class.effect is not api.Effect.SAFE:
+                assert request_class.effect is api.Effect.KEYED
+                assert self.now_us - earlier.sent_us < request_class.memory_span_us
+                first = self.listed[earlier.backend]
+                if request_class.dedup_scope is api.Scope.ZONE:
                     assert first.zone == target.zone
-                if cls.dedup_scope is api.Scope.CELL:
+                if request_class.dedup_scope is api.Scope.CELL:
                     assert first.cell == target.cell
-        tries.append(Sent(action.backend, self.now, action.until_us))
+        attempts.append(SentAttempt(action.backend, self.now_us, action.until_us))
 
-    def cls(self, request: str) -> api.RequestClass:
-        return next(c for c in CLASSES if c.name == self.requests[request].cls)
+    def class_of(self, request_id: str) -> api.RequestClass:
+        return next(c for c in CLASSES if c.name == self.requests[request_id].cls)
 
     @property
-    def seen(self) -> dict[str, api.Backend]:
+    def listed(self) -> dict[str, api.Backend]:
         return self.fleet
 
-    def out(self) -> list[str]:
-        return [r for r, t in self.sent.items() if t and t[-1].status is None and r not in self.stands]
+    def in_flight(self) -> list[str]:
+        """Return the ids of the requests with an attempt in flight."""
+        return [
+            request_id
+            for request_id, attempts in self.attempts.items()
+            if attempts and attempts[-1].status is None and request_id not in self.open_connections
+        ]
 
-    # The moves of the world.
+    # Steps of the simulation.
 
     def advance(self) -> None:
-        """Time passes, but never past a timer or an attempt's end."""
-        step = self.draw.draw(st.integers(0, 400_000))
-        ends = [self.sent[r][-1].until for r in self.out()]
-        self.now = max(self.now, min([self.now + step, *(t for t, _ in self.timers), *ends]))
-        for due in [t for t in self.timers if t[0] <= self.now]:
+        """Let time pass, but not beyond a timer or the end of an attempt."""
+        step = self.data.draw(st.integers(0, 400_000))
+        ends_us = [self.attempts[r][-1].until_us for r in self.in_flight()]
+        self.now_us = max(self.now_us, min([self.now_us + step, *(t for t, _ in self.timers), *ends_us]))
+        for due in [t for t in self.timers if t[0] <= self.now_us]:
             self.timers.remove(due)
-            self.tell(api.TimerFired(due[1]))
-        for request in self.out():
-            if self.sent[request][-1].until <= self.now:
-                self.end(request, api.Status.TIMED_OUT)
-
-    def change(self) -> None:
-        name = f"b{self.draw.draw(st.integers(0, 7))}"
-        state = self.draw.draw(st.sampled_from(api.State))
-        started = self.draw.draw(st.sampled_from([None, self.now]))
+            self.handle(api.TimerFired(due[1]))
+        for request_id in self.in_flight():
+            if self.attempts[request_id][-1].until_us <= self.now_us:
+                self.end_attempt(request_id, api.Status.TIMED_OUT)
+
+    def change_list(self) -> None:
+        name = f"b{self.data.draw(st.integers(0, 7))}"
+        state = self.data.draw(st.sampled_from(api.State))
+        started = self.data.draw(st.sampled_from([None, self.now_us]))
         number = int(name[1:])
         info = api.Backend(name, f"z{number % 2}", number % 4, started_us=started, state=state)
         self.fleet[name] = info
-        mode = self.draw.draw(st.sampled_from([api.ListMode.CHANGES, api.ListMode.COMPLETE]))
+        mode = self.data.draw(st.sampled_from([api.ListMode.CHANGES, api.ListMode.COMPLETE]))
         if mode is api.ListMode.COMPLETE:
-            left = tuple(b for b in self.fleet.values() if b.state is not api.State.GONE)
-            self.tell(api.BackendList(mode, left))
+            remaining = tuple(b for b in self.fleet.values() if b.state is not api.State.GONE)
+            self.handle(api.BackendList(mode, remaining))
         else:
-            self.tell(api.BackendList(mode, (info,)))
+            self.handle(api.BackendList(mode, (info,)))
 
-    def arrive(self) -> None:
+    def send_request(self) -> None:
         name = f"r{len(self.requests)}"
-        cls = self.draw.draw(st.sampled_from(CLASSES))
-        left = self.draw.draw(st.integers(1, cls.deadline_us))
-        group = self.draw.draw(st.none() | st.integers(0, 5))
-        self.requests[name] = api.Request(name, cls.name, left, group=group)
-        self.deadline[name], self.sent[name] = self.now + left, []
-        self.tell(self.requests[name])
+        request_class = self.data.draw(st.sampled_from(CLASSES))
+        remaining_us = self.data.draw(st.integers(1, request_class.deadline_us))
+        group = self.data.draw(st.none() | st.integers(0, 5))
+        self.requests[name] = api.Request(name, request_class.name, remaining_us, group=group)
+        self.deadlines_us[name], self.attempts[name] = self.now_us + remaining_us, []
+        self.handle(self.requests[name])
 
     def answer_probe(self) -> None:
         if self.probes:
-            name = self.probes.pop(self.draw.draw(st.integers(0, len(self.probes) - 1)))
-            status = self.draw.draw(st.sampled_from(PROBED))
-            load = self.draw.draw(st.none() | st.floats(allow_nan=True, allow_infinity=True))
+            name = self.probes.pop(self.data.draw(st.integers(0, len(self.probes) - 1)))
+            status = self.data.draw(st.sampled_from(PROBE_STATUSES))
+            load = self.data.draw(st.none() | st.floats(allow_nan=True, allow_infinity=True))
             report = api.Report(load=load) if status is api.Status.SERVED else None
-            self.tell(api.ProbeResult(name, status, 1000, report))
-
-    def end(self, request: str, status: api.Status) -> None:
-        tries = self.sent[request]
-        tries[-1].status = status
-        done = request in self.over or request in self.stands
-        if request in self.stands:
-            self.over.add(request)
-        number = len(tries) - 1
-        took = self.now - tries[-1].at
-        self.tell(api.Outcome(request, number, tries[-1].backend, status, took, done))
-
-    def fail(self) -> None:
-        if self.out():
-            request = self.draw.draw(st.sampled_from(self.out()))
-            self.end(request, self.draw.draw(st.sampled_from(BEFORE_OPEN)))
-
-    def open(self) -> None:
-        waiting = [r for r in self.out() if r not in self.over]
+            self.handle(api.ProbeResult(name, status, 1000, report))
+
+    def end_attempt(self, request_id: str, status: api.Status) -> None:
+        attempts = self.attempts[request_id]
+        attempts[-1].status = status
+        is_finished = request_id in self.finished or request_id in self.open_connections
+        if request_id in self.open_connections:
+            self.finished.add(request_id)
+        number = len(attempts) - 1
+        took_us = self.now_us - attempts[-1].sent_us
+        self.handle(api.Outcome(request_id, number, attempts[-1].backend, status, took_us, is_finished))
+
+    def fail_attempt(self) -> None:
+        if self.in_flight():
+            request_id = self.data.draw(st.sampled_from(self.in_flight()))
+            self.end_attempt(request_id, self.data.draw(st.sampled_from(STATUSES_BEFORE_OPEN)))
+
+    def open_connection(self) -> None:
+        waiting = [r for r in self.in_flight() if r not in self.finished]
         if waiting:
-            request = self.draw.draw(st.sampled_from(waiting))
-            self.stands.add(request)
-            last = self.sent[request][-1]
-            self.tell(api.Opened(request, len(self.sent[request]) - 1, last.backend, self.now - last.at))
-
-    def note(self) -> None:
-        standing = sorted(self.stands - self.over)
-        if standing:
-            request = self.draw.draw(st.sampled_from(standing))
-            last = self.sent[request][-1]
-            value = self.draw.draw(st.floats(0, 5000) | st.just(float("nan")))
-            kind = self.draw.draw(st.sampled_from(api.NoteKind))
-            self.tell(api.Note(request, len(self.sent[request]) - 1, last.backend, kind, value))
-
-    def leave(self) -> None:
-        owed = [r for r in self.requests if r not in self.over and r not in self.stands]
-        if owed:
-            request = self.draw.draw(st.sampled_from(owed))
-            self.over.add(request)
-            self.tell(api.ClientGone(request))
-
-    def settle_all(self) -> None:
-        """Nothing more happens but timers and time-outs: every request must get its answer in time."""
+            request_id = self.data.draw(st.sampled_from(waiting))
+            self.open_connections.add(request_id)
+            last = self.attempts[request_id][-1]
+            self.handle(
+                api.Opened(request_id, len(self.attempts[request_id]) - 1, last.backend, self.now_us - last.sent_us)
+            )
+
+    def send_note(self) -> None:
+        open_ids = sorted(self.open_connections - self.finished)
+        if open_ids:
+            request_id = self.data.draw(st.sampled_from(open_ids))
+            last = self.attempts[request_id][-1]
+            value = self.data.draw(st.floats(0, 5000) | st.just(float("nan")))
+            kind = self.data.draw(st.sampled_from(api.NoteKind))
+            self.handle(api.Note(request_id, len(self.attempts[request_id]) - 1, last.backend, kind, value))
+
+    def disconnect_client(self) -> None:
+        unanswered = [r for r in self.requests if r not in self.finished and r not in self.open_connections]
+        if unanswered:
+            request_id = self.data.draw(st.sampled_from(unanswered))
+            self.finished.add(request_id)
+            self.handle(api.ClientGone(request_id))
+
+    def finish_all(self) -> None:
+        """Let only timers and time-outs happen, and check that every request gets its answer in time."""
         for _ in range(2000):
-            times = [t for t, _ in self.timers] + [self.sent[r][-1].until for r in self.out()]
-            if not times:
+            times_us = [t for t, _ in self.timers] + [self.attempts[r][-1].until_us for r in self.in_flight()]
+            if not times_us:
                 break
-            self.now = max(self.now, min(times))
-            for due in [t for t in self.timers if t[0] <= self.now]:
+            self.now_us = max(self.now_us, min(times_us))
+            for due in [t for t in self.timers if t[0] <= self.now_us]:
                 self.timers.remove(due)
                 if not due[1].startswith("ask"):
-                    self.tell(api.TimerFired(due[1]))
-            for request in self.out():
-                if self.sent[request][-1].until <= self.now:
-                    self.end(request, api.Status.TIMED_OUT)
-        for request in self.requests:
-            assert request in self.over or request in self.stands, request
-
-
-STEPS = ("advance", "change", "arrive", "answer_probe", "fail", "open", "note", "leave")
+                    self.handle(api.TimerFired(due[1]))
+            for request_id in self.in_flight():
+                if self.attempts[request_id][-1].until_us <= self.now_us:
+                    self.end_attempt(request_id, api.Status.TIMED_OUT)
+        for request_id in self.requests:
+            assert request_id in self.finished or request_id in self.open_connections, request_id
+
+
+STEPS = (
+    "advance",
+    "change_list",
+    "send_request",
+    "answer_probe",
+    "fail_attempt",
+    "open_connection",
+    "send_note",
+    "disconnect_client",
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None, suppress_health_check=list(HealthCheck))
 @given(st.data())
-def test_the_four_rules_hold_whatever_happens(draw: st.DataObject) -> None:
-    judge = Judge(draw)
+def test_the_four_rules_hold_for_all_event_sequences(data: st.DataObject) -> None:
+    checker = RuleChecker(data)
     for _ in range(3):
-        judge.change()
-    for step in draw.draw(st.lists(st.sampled_from(STEPS), max_size=60)):
-        getattr(judge, step)()
-        assert all(judge.now <= judge.deadline[r] for r in judge.requests if r not in judge.over | judge.stands), (
-            "an answer is overdue"
-        )
-    judge.settle_all()
-    assert not [r for r in judge.balancer.flights if r in judge.over]  # finished requests are forgotten
+        checker.change_list()
+    for step in data.draw(st.lists(st.sampled_from(STEPS), max_size=60)):
+        getattr(checker, step)()
+        assert all(
+            checker.now_us <= checker.deadlines_us[r]
+            for r in checker.requests
+            if r not in checker.finished | checker.open_connections
+        ), "an answer is overdue"
+    checker.finish_all()
+    assert not [r for r in checker.balancer.requests if r in checker.finished]  # finished requests are forgotten
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -22,10 +22,10 @@
 from bramblestile.trace.recorder import Plan, Recorder, open_file
 from bramblestile.trace.records import Answer, Attempt, Decision, Ended, Lost, Moved, Note, Record, Request, Stand
 from bramblestile.trace.sampling import Sampler
+from tests.balancer_driver import SETTINGS, BalancerDriver, make_backends
 from tests.fleet import Fleet
-from tests.relay import SETTINGS, Relay, fleet
 from vanegw import interface as api
-from vanegw.witness import Witness
+from vanegw.recording import RecordingBalancer
 
 SECOND = timedelta(seconds=1)
 
@@ -34,45 +34,47 @@
 
 
 def test_a_witness_changes_no_decision_and_tells_what_the_draw_went_by() -> None:
-    plain, watched = Relay(seed=5), Relay(seed=5)
-    watched.balancer = witness = Witness(SETTINGS, 5)
-    witness.watching = True
+    plain, watched = BalancerDriver(seed=5), BalancerDriver(seed=5)
+    watched.balancer = witness = RecordingBalancer(SETTINGS, 5)
+    witness.recording = True
     r = Random(3)
-    for relay in (plain, watched):
-        relay.show(*fleet(6))
+    for driver in (plain, watched):
+        driver.set_list(*make_backends(6))
     for n in range(200):
         load = r.random()
-        for relay in (plain, watched):
-            relay.loads[f"b{n % 6}"] = load
-            relay.now += 40_000
-            for attempt in (a for a in relay.request() if isinstance(a, api.Attempt)):
+        for driver in (plain, watched):
+            driver.loads[f"b{n % 6}"] = load
+            driver.now_us += 40_000
+            for attempt in (a for a in driver.request() if isinstance(a, api.Attempt)):
                 if n % 3:
-                    relay.open(attempt)
+                    driver.open_connection(attempt)
                 else:
-                    relay.end(attempt, api.Status.NO_ROOM)
-    assert plain.seen == watched.seen
-    watched.now += 10_000_000  # every figure is asked for anew: none of the drawn ones can refuse it
+                    driver.end_attempt(attempt, api.Status.NO_ROOM)
+    assert plain.all_actions == watched.all_actions
+    watched.now_us += 10_000_000  # every figure is asked for anew: none of the drawn ones can refuse it
     event = api.Request("x", "feed", remaining_us=3_200_000)
-    made = witness.handle(watched.now, event)
+    made = witness.handle(watched.now_us, event)
     for action in [a for a in made if isinstance(a, api.Probe)]:
-        made = witness.handle(watched.now, api.ProbeResult(action.backend, api.Status.SERVED, 1, api.Report(load=0.2)))
-    (view,) = witness.views
-    chosen = next(b for b in view.beliefs if b.host == view.host)
+        made = witness.handle(
+            watched.now_us, api.ProbeResult(action.backend, api.Status.SERVED, 1, api.Report(load=0.2))
+        )
+    (view,) = witness.decisions
+    chosen = next(b for b in view.candidates if b.backend == view.backend)
     assert view.id == "x" and chosen.weight is not None and chosen.load is not None
-    assert max(b.weight or 0 for b in view.beliefs) == 256
-    assert all(b.believed is not None for b in view.beliefs)
+    assert max(b.weight or 0 for b in view.candidates) == 256
+    assert all(b.estimated_load is not None for b in view.candidates)
 
 
 def test_a_refusal_tells_the_hosts_that_were_full() -> None:
-    relay = Relay()
-    relay.balancer = witness = Witness(SETTINGS, 1)
-    witness.watching = True
-    relay.show(*fleet(2))
-    relay.loads = {"b0": 0.95, "b1": 0.9}
-    relay.request()
-    (view,) = witness.views
-    assert view.what == "refuse" and view.wait_us == 0 and view.host is None
-    assert {(b.host, b.load, b.weight) for b in view.beliefs} == {("b0", 0.95, None), ("b1", 0.9, None)}
+    driver = BalancerDriver()
+    driver.balancer = witness = RecordingBalancer(SETTINGS, 1)
+    witness.recording = True
+    driver.set_list(*make_backends(2))
+    driver.loads = {"b0": 0.95, "b1": 0.9}
+    driver.request()
+    (view,) = witness.decisions
+    assert view.decision == "refuse" and view.retry_after_us == 0 and view.backend is None
+    assert {(b.backend, b.load, b.weight) for b in view.candidates} == {("b0", 0.95, None), ("b1", 0.9, None)}
 
 
 # Sampling.
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -1,8 +1,18 @@
 """Every decision of the balancer. Its types, events and actions are in vanegw/interface.py.
 
-The ordinary path: backends that may take work -> weights -> one weighted random draw. A weight is relative
-size x (1 / clamped load) ^ AGGRESSIVENESS, scaled to a top of 256 and floored at 1. An exception masks a
-backend, multiplies a weight, or answers, retries or moves; nothing else ever picks a backend.
+The ordinary path: the backends that are eligible -> their weights -> one weighted random draw. A weight is the
+backend's relative size x (1 / its load) ^ LOAD_EXPONENT, scaled so that the largest is MAX_WEIGHT and none is below 1.
+Each exception masks a backend, multiplies a weight, or answers, retries or moves a request. Nothing else ever chooses
+a backend.
+
+Four rules hold whatever happens:
+
+1. Each request gets exactly one final answer, before its deadline.
+2. A request that may have run is repeated only where a repeat has no second effect.
+3. A backend that is not running gets nothing new, from the moment the list says so.
+4. All balancers together send a cold backend no more than its warm-up allows.
+
+Loads are shares of a backend's capacity: at 1.0 it is saturated. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -15,547 +25,769 @@
 
 from vanegw import interface as api
 from vanegw.interface import ListMode, NoteKind, Scope, State, Status
-from vanegw.state import Flight, Known, Lately, closeness
-
-TOP_WEIGHT = 256.0  # a weight runs from 1 to this, as in the source
-LIMITING_FACTOR = 4.0  # a load counts as at least the average over this, so an idle backend draws no flood
-AGGRESSIVENESS = 3.0  # exponent of inverse load: how sharply weights lean away from loaded backends
-SAMPLE = 4  # backends probed for a request: fresh figures for a few beat old ones for all
-ABSURD = 1e6  # a reported figure beyond this, like one below nothing, is a broken reading
-AVERAGE_SPAN = 16  # reports over which the average load of the fleet is remembered
-HOLD_SHARE = 1 / 8  # part of the set-up aim for which a request waits for its probes
-PATIENCE_SHARE = 1 / 3  # part of the set-up aim for an attempt while another may follow
-ZONE_AVERSION = 50.0  # weight of another zone is 1 / (1 + this x the price of crossing)
-PATIENCE_LATE = 4.0  # aims added to that, times the share of this relay's attempts that timed out of late
-YOUNG_US = 4_000_000  # a connection that is cut within this of its start was shed
-REST_SHARE = 0.3  # about this part of the longest wait is what a refused client is told at least
-LATE_SPAN = 4  # attempts over which that share is remembered: a storm is over in seconds
-JAM_REFUSAL = 0.8  # part of arrivals refused when all is late or cut: each adds to it, a few tell its end
-SUSPECT_AIMS = 10  # a backend that failed is masked for so many set-up aims, doubled for each strike
-MOST_STRIKES = 4  # strikes beyond this lengthen a mask no further
-FULL_LOAD = 0.8  # a backend at this load takes nothing new: one more would cost all that it holds
-DOUBT_SHARE = 0.9  # when more of the fleet than this looks bad, the evidence is (late reports, a cut zone)
-SLOW_LIFE_US = 2_500_000  # slow notes come once a second: two missed and the backend is believed well again
-WORK_OFF_S = 1.0  # a backlog should be worked off within this time: until then nothing is earned there
-HUSH_MS = 1000.0  # a backend that has returned nothing on any connection for so long loses them all
-MUTE_MS = 4000.0  # a connection that has returned nothing for so long is moved
-OVERLOAD = 1.1  # a backend that reports more than this sheds too, where no message tells its delay
-REPORT_LEAN = 1.25  # how much more load a report counts for: what it shows is some time old, and rising
-RELIEF_EVERY_US = 2_000_000  # but not again before the report can show what the last moves have done
-MOVE_TARGET = 0.85  # a backend whose messages miss their aim sheds what it holds down to this load
-MOVE_EAGERNESS = 0.12  # load that a delay of one message aim counts for: a move costs less than a backlog
-PRESSURE = 0.6  # average load from which a tenant is held to its share
-SHARE_SLACK = 1.1  # times its share that a tenant may hold even then
-MOVE_ROOM = 4.0  # moves slow down when less than one over this is free below FULL_LOAD
-MOVE_LEAST = 0.15  # but never below this part: a saturated backend that nobody leaves stays saturated
-ASK_SPREAD_US = 1_000_000  # first subscription within this time, to spread relays that start together
-ASK_DOUBLINGS = 2  # of that spread after failures: what is told meanwhile counts as heard after 6 s
-LOOK_EVERY_US = 2_000_000  # about so often a backend that holds connections is asked for its load
-FEW = 4  # relays: with more, each sees less, masks who errs for longer, and none goes on to hosts that shed
-REASK_US = 400_000  # a full backend is asked again so soon: it may have been full of our own guesses
-REPORT_AGE_US = 700_000  # a report is about so old when it comes: placements since then are not in it
-SIZE_FADES = 0.99  # with each news of the list: a release passes, a fleet that stays smaller counts as that
-LEAST_LOAD = 5e3  # microseconds of work a second: less is next to nothing, or a delay by the same word
-ASK, HOLD, LEFT, LOOK = "ask", "hold ", "left ", "look"  # what a timer is for
+from vanegw.state import BackendState, LastSeenTimes, TrackedRequest, rendezvous_hash
+
+# Weights.
+
+# The largest weight of a draw; the smallest is 1, so that every eligible backend keeps a chance.
+MAX_WEIGHT = 256.0
+# A load counts as at least the average divided by this: an idle backend must not attract every new connection.
+MIN_LOAD_DIVISOR = 4.0
+# Exponent of the inverse load: how strongly the draw prefers backends with little load.
+LOAD_EXPONENT = 3.0
+# The weight of a backend in another zone is 1 / (1 + this x the price of crossing zones).
+CROSS_ZONE_PENALTY = 50.0
+# A reported figure above this is a faulty reading, as is a negative one.
+MAX_PLAUSIBLE_VALUE = 1e6
+# Number of reports over which the average load of the fleet is smoothed.
+AVERAGE_WINDOW_REPORTS = 16
+# Each update of the list multiplies the remembered size of the fleet by this. A release passes before the size has
+# shrunk much; a fleet that stays smaller is taken at its new size in the end.
+TOTAL_SIZE_DECAY = 0.99
+# Without quotas, the fleet is assumed to hold at least so many connections for each backend: a balancer that has just
+# started holds few itself, and must not take a few placements for a full fleet.
+MIN_CONNECTIONS_PER_BACKEND = 4.0
+# A backlog is to be worked off within this time: until it is, new connections there earn nothing.
+BACKLOG_TARGET_S = 1.0
+
+# Choosing the sample and probing it.
+
+# Backends probed for one request: recent reports of a few are worth more than old reports of all.
+SAMPLE_SIZE = 4
+# A group's connections go to the first healthy backends among this many of the best ranked for the group.
+GROUP_RANKED_BACKENDS = SAMPLE_SIZE * 4
+# Part of the set-up objective for which a request waits for its probes.
+PROBE_WAIT_SHARE = 1 / 8
+# The wait for probes takes at most the remaining time divided by this.
+PROBE_WAIT_REMAINING_DIVISOR = 4
+# A full backend is probed again when its report is this old: it may count as full only for our own placements.
+FULL_LOAD_LIFETIME_US = 400_000
+# A report is about this old on arrival: placements of that time are not in it.
+REPORT_AGE_US = 700_000
+# Mean interval of the load probes to backends that hold connections of ours.
+LOAD_POLL_INTERVAL_US = 2_000_000
+# A backend at this load gets nothing new: overload would cost it all the connections that it holds.
+FULL_LOAD = 0.8
+
+# Attempts and retries.
+
+# Part of the set-up objective that an attempt may take while another may follow.
+ATTEMPT_TIMEOUT_SHARE = 1 / 3
+# Objectives added to that time-out, times the recent share of attempts that timed out. Where everything is slow, an
+# early retry would add load to load.
+TIMEOUT_RATE_EXTENSION = 4.0
+# No retry when the time left to the deadline is less than the set-up objective divided by this.
+MIN_RETRY_OBJECTIVE_DIVISOR = 16
+# Number of attempts over which the rate of time-outs is smoothed; few, because a storm of arrivals lasts seconds.
+TIMEOUT_RATE_WINDOW_ATTEMPTS = 4
+# A connection that is cut within this time of its start was shed by a backend that is too busy.
+SHED_CONNECTION_AGE_US = 4_000_000
+# Part of the arrivals that is refused when every attempt times out. Each arrival then adds to the congestion, but some
+# have to be let through to notice its end.
+MAX_CONGESTION_REFUSAL_SHARE = 0.8
+# A refused client is told to wait for at least about this part of the longest wait.
+MIN_RETRY_AFTER_SHARE = 0.3
+
+# Masks for backends that failed.
+
+# First duration of a mask, in set-up objectives. It doubles with each consecutive failure.
+MASK_OBJECTIVES = 10
+# Failures beyond this number lengthen a mask no further.
+MAX_CONSECUTIVE_FAILURES = 4
+# When more than this share of the fleet is masked, the masks are ignored: late reports or a zone that is cut off from
+# us make healthy backends look bad.
+IGNORE_MASKS_SHARE = 0.9
+# Among more balancers than this, each sees few requests. It masks a backend that answers errors for longer, and tries
+# no masked backend when all others are full: all balancers together would flood one that is shedding its load.
+SMALL_DEPLOYMENT_BALANCERS = 4
+# Ends of an attempt that count as a failure of its backend.
 FAILURES = (Status.ERROR, Status.NO_ROOM, Status.TIMED_OUT, Status.NO_ROUTE, Status.CUT)
 
+# Moving connections away from a backend.
+
+# A backend that has returned nothing on any connection for this long loses all its connections.
+BACKEND_SILENCE_MS = 1000.0
+# A connection that has returned nothing for this long is moved.
+CONNECTION_SILENCE_MS = 4000.0
+# A message delay is believed for this long. Notes of a delay come once a second, so after two that are missing the
+# backend counts as fast again.
+MESSAGE_DELAY_LIFETIME_US = 2_500_000
+# Load that a message delay of one message aim counts for: a move costs less than a backlog.
+LOAD_PER_MESSAGE_AIM = 0.12
+# A backend that reports more load than this sheds connections too, also where no message shows its delay.
+OVERLOAD = 1.1
+# A reported overload counts this many times: the report is some time old, and the load is still rising.
+REPORTED_OVERLOAD_FACTOR = 1.25
+# Minimum interval between sheddings for reported load: a report must be able to show the effect of the last one.
+SHED_INTERVAL_US = 2_000_000
+# A backend whose messages miss their aim sheds connections down to this load.
+SHED_TARGET_LOAD = 0.85
+# The part moved at once is the free load of the fleet below FULL_LOAD times this, at most all of it: in a full fleet
+# the moved clients return as a storm of set-ups and find no better place.
+SHED_SHARE_PER_FREE_LOAD = 4.0
+# The part moved is at least this: a saturated backend that nobody leaves stays saturated.
+MIN_SHED_SHARE = 0.15
+# In microseconds of work a second. A smaller load of a connection is negligible, or it is a delay in milliseconds,
+# which some backends send as the same kind of note.
+MIN_CONNECTION_LOAD = 5e3
+
+# Quotas of tenants.
+
+# Average load above which tenants are held to their quotas.
+QUOTA_ENFORCEMENT_LOAD = 0.6
+# Times its quota that a tenant may hold even then.
+QUOTA_TOLERANCE = 1.1
+
+# Subscription to the backend list.
+
+# The first subscription is sent at a random time within this, so that balancers that start together spread out.
+SUBSCRIBE_JITTER_US = 1_000_000
+# Each failure doubles that time, this many times at most, to 4 s: a change that was announced during an outage of the
+# list must be respected from 6 s after the end of the outage.
+MAX_SUBSCRIBE_DOUBLINGS = 2
+
+# Tokens of timers; the probe wait is followed by the request's id, the drain by the backend's name.
+SUBSCRIBE_TIMER = "ask"
+PROBE_WAIT_TIMER = "hold "
+DRAIN_TIMER = "left "
+LOAD_POLL_TIMER = "look"
+
 
 class Balancer:
-    """The decisions of one relay."""
+    """The decisions of one balancer process."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
+        """Start with an empty backend list. Equal seeds and events give equal actions."""
         self.reconfigure(settings)
         self.random = Random(seed)
-        self.backends: dict[str, Known] = {}
-        self.flights: dict[str, Flight] = {}
-        self.waiting: dict[str, None] = {}  # requests held until their probes answer, in order
-        self.average = 0.0
-        self.reports = 0  # counted up to AVERAGE_SPAN
-        self.table: dict[str, float] = {}  # the weights of those that may take work
-        self.table_at: int | None = None
-        self.doubt = False  # most backends look bad: do not believe it
-        self.failed_asks = 0
-        self.full, self.standing = FULL_LOAD, 0
-        self.size = 1.0  # of all backends together
-        # When clients came, those who had stood before, and when own connections ended, in the last fresh_us.
-        self.arrivals, self.returned, self.parted = Lately(), Lately(), Lately()
-        self.warmed: list[int] = []  # when this relay sent to cold backends, in the last fall_us
-        self.chance, self.chance_at = 0.0, -math.inf  # the part of a send that it may round up to
-        self.looking = False  # a timer for the next look is set
-        self.held: Counter[str | None] = Counter()  # own standing connections of each tenant
-        self.lateness = 0.0  # share of the latest attempts that timed out
-        self.now = 0
+        self.backends: dict[str, BackendState] = {}
+        self.requests: dict[str, TrackedRequest] = {}
+        self.awaiting_probes: dict[str, None] = {}  # ids of requests held until their probes are answered, in order
+        self.average_load = 0.0
+        self.report_count = 0  # counted up to AVERAGE_WINDOW_REPORTS
+        self.weights: dict[str, float] = {}  # of the running backends, for choosing samples
+        self.weights_at_us: int | None = None
+        self.ignore_masks = False  # nearly all backends are masked, so the masks are not believed
+        self.failed_subscriptions = 0
+        self.full_load = FULL_LOAD
+        self.open_connections = 0
+        self.total_size = 1.0  # of all backends together
+        # Within the last load_lifetime_us: clients that came, those of them that had a connection before, and own
+        # connections that ended.
+        self.recent_arrivals = LastSeenTimes()
+        self.recent_returns = LastSeenTimes()
+        self.recent_ends = LastSeenTimes()
+        self.cold_attempts_us: list[int] = []  # times of own attempts at cold backends within the last fall_us
+        self.cold_rounding = 0.0  # the fraction of one attempt that the budget for cold backends is rounded up by
+        self.cold_rounding_at_us = -math.inf
+        self.load_poll_scheduled = False
+        self.tenant_connections: Counter[str | None] = Counter()  # own open connections of each tenant
+        self.timeout_rate = 0.0  # share of the latest attempts that timed out or were shed
+        self.now_us = 0
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
-            api.BackendList: self._on_list,
+            api.BackendList: self._on_backend_list,
             api.Request: self._on_request,
             api.Inherited: self._on_inherited,
             api.Opened: self._on_opened,
             api.Note: self._on_note,
             api.Outcome: self._on_outcome,
-            api.ClientGone: self._on_gone,
-            api.ProbeResult: self._on_probe,
-            api.TimerFired: self._on_timer,
+            api.ClientGone: self._on_client_gone,
+            api.ProbeResult: self._on_probe_result,
+            api.TimerFired: self._on_timer_fired,
         }
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """New settings for what is decided from now on; what is open keeps its class as it was."""
+        """Apply new settings to all later decisions. Open connections and waiting requests keep their class."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        self.aim_us = min(c.objective_us for c in settings.classes)
-        self.fresh_us = max(c.deadline_us for c in settings.classes)
+        self.min_objective_us = min(c.objective_us for c in settings.classes)
+        self.load_lifetime_us = max(c.deadline_us for c in settings.classes)
         self.message_aim_s = min(c.message_aim_us for c in settings.classes) / 1e6
         self.quotas = {t.name: t.quota_connections for t in settings.tenants if t.quota_connections > 0}
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Takes one event and returns the actions it calls for, in order."""
-        self.now = now_us
+        """Process one event and return the actions that it calls for, in order."""
+        self.now_us = now_us
         self.actions = []
         self.handlers[type(event)](event)
         return self.actions
 
     # The backend list.
 
-    def _on_list(self, event: api.BackendList) -> None:
+    def _on_backend_list(self, event: api.BackendList) -> None:
         if event.mode is ListMode.UNAVAILABLE:
-            self.failed_asks += 1
-            self._ask_in(ASK_SPREAD_US * 2 ** min(self.failed_asks, ASK_DOUBLINGS))
+            self.failed_subscriptions += 1
+            doublings = min(self.failed_subscriptions, MAX_SUBSCRIBE_DOUBLINGS)
+            self._schedule_subscribe(SUBSCRIBE_JITTER_US * 2**doublings)
             return
-        self.failed_asks = 0
-        self.table_at = None  # the draw must never name a backend that is no longer listed
+        self.failed_subscriptions = 0
+        self.weights_at_us = None  # the next sample must not name a backend that is no longer listed
         if event.mode is not ListMode.CHANGES:
-            named = {b.name for b in event.backends}
-            self.backends = {n: k for n, k in self.backends.items() if n in named}
+            listed = {info.name for info in event.backends}
+            self.backends = {name: backend for name, backend in self.backends.items() if name in listed}
         for info in event.backends:
-            known = self.backends.get(info.name)
+            backend = self.backends.get(info.name)
             if info.state is State.GONE:
                 self.backends.pop(info.name, None)
-            elif known is None or known.info.started_us != info.started_us:
-                # A new start is a new, cold backend: nothing that was known of the old process holds.
-                self.backends[info.name] = Known(info)
+            elif backend is None or backend.info.started_us != info.started_us:
+                # A restarted backend is cold, and nothing learned from its previous process still holds.
+                self.backends[info.name] = BackendState(info)
             else:
-                known.info = info
-                if info.state is State.DRAINING and known.open:
-                    # Most backends send their clients away themselves; who is left then is told by us.
-                    self._timer(self.settings.drain_grace_us, LEFT + info.name)
-        running = sum(self._size(k) for k in self.backends.values() if k.info.state is State.RUNNING)
-        warm = sum(self._size(k) for k in self.backends.values() if self._warmth(k) >= 1)
-        # One that drains and its cold successor are one, not two. Shares are of the fleet when it is whole.
-        self.size = max(running, warm, self.size * SIZE_FADES if self.quotas else 0.0) or 1.0
+                backend.info = info
+                if info.state is State.DRAINING and backend.connections:
+                    # Most backends send their clients away themselves; the rest are moved after the grace period.
+                    self._set_timer(self.settings.drain_grace_us, DRAIN_TIMER + info.name)
+        running_size = sum(self._relative_size(b) for b in self.backends.values() if b.info.state is State.RUNNING)
+        warm_size = sum(self._relative_size(b) for b in self.backends.values() if self._warmth(b) >= 1)
+        # A draining backend and its cold successor count once, hence the larger of the two sums. Quotas are shares of
+        # the whole fleet, so where there are any the size shrinks slowly.
+        remembered_size = self.total_size * TOTAL_SIZE_DECAY if self.quotas else 0.0
+        self.total_size = max(running_size, warm_size, remembered_size) or 1.0
         if event.mode is ListMode.RESTORED and self.settings.list_on_request:
-            self._ask_in(ASK_SPREAD_US)
+            self._schedule_subscribe(SUBSCRIBE_JITTER_US)
 
-    def _ask_in(self, within_us: int) -> None:
-        """Relays that start or fail together must not ask together: the list serves few calls a second."""
-        self._timer(int(within_us * self.random.random()), ASK)
+    def _schedule_subscribe(self, max_delay_us: int) -> None:
+        """Subscribe after a random delay: the list serves few calls a second, and many balancers may start at once."""
+        self._set_timer(int(max_delay_us * self.random.random()), SUBSCRIBE_TIMER)
 
     # Requests.
 
     def _on_request(self, event: api.Request) -> None:
-        cls = self.classes.get(event.cls)
-        if cls is None:  # nobody can tell how it may be served: it is not to pass for another
+        request_class = self.classes.get(event.cls)
+        if request_class is None:
+            # Whether it may be repeated is unknown, so it must not be served as another class.
             self.actions.append(api.Fail(event.id))
             return
-        flight = self.flights[event.id] = Flight(event, cls, self.now + event.remaining_us)
-        for lately in (self.arrivals, self.returned, self.parted):
-            lately.forget(self.now - self.fresh_us)
-        who = event.id if event.key is None else event.key  # one comes again and again
-        self.arrivals.add(who, self.now)
+        tracked = TrackedRequest(event, request_class, self.now_us + event.remaining_us)
+        self.requests[event.id] = tracked
+        for recent in (self.recent_arrivals, self.recent_returns, self.recent_ends):
+            recent.discard_until(self.now_us - self.load_lifetime_us)
+        # A client that is refused comes again and again under the same key, and counts once.
+        client = event.id if event.key is None else event.key
+        self.recent_arrivals.record(client, self.now_us)
         if event.is_return:
-            self.returned.add(who, self.now)
-        flight.warms = self._may_warm()
-        if self._beyond_share(event.tenant) or self.random.random() < JAM_REFUSAL * self.lateness**2:
-            self._settle(flight)
+            self.recent_returns.record(client, self.now_us)
+        tracked.may_use_cold = self._cold_budget_remains()
+        refusal_share = MAX_CONGESTION_REFUSAL_SHARE * self.timeout_rate**2
+        if self._exceeds_quota(event.tenant) or self.random.random() < refusal_share:
+            self._give_up(tracked)
         else:
-            self._sample(flight)
-
-    def _stand(self, flight: Flight, change: int) -> None:
-        self.standing += change
-        self.held[flight.request.tenant] += change
-        self._look_later()
-
-    def _look_later(self) -> None:
-        """While connections stand, the load of the backends that hold them is looked at now and then."""
-        if self.standing and not self.looking and self.settings.may_probe and self.settings.reports_load:
-            self.looking = True
-            self._timer(int(LOOK_EVERY_US * (0.5 + self.random.random())), LOOK)
-
-    def _beyond_share(self, tenant: str | None) -> bool:
-        """Under pressure a tenant beyond its share, worth little, waits; part of one is kept by chance."""
+            self._choose_sample(tracked)
+
+    def _count_connection(self, tracked: TrackedRequest, change: int) -> None:
+        self.open_connections += change
+        self.tenant_connections[tracked.request.tenant] += change
+        self._schedule_load_poll()
+
+    def _schedule_load_poll(self) -> None:
+        """While connections are open, probe the backends that hold them regularly, to notice overload there."""
+        may_probe = self.settings.may_probe and self.settings.reports_load
+        if self.open_connections and not self.load_poll_scheduled and may_probe:
+            self.load_poll_scheduled = True
+            delay_us = int(LOAD_POLL_INTERVAL_US * (0.5 + self.random.random()))
+            self._set_timer(delay_us, LOAD_POLL_TIMER)
+
+    def _exceeds_quota(self, tenant: str | None) -> bool:
+        """Tell whether a tenant is beyond its quota while the fleet is busy.
+
+        Traffic beyond a quota is worth little. A fraction of a connection in the quota is granted by chance.
+        """
         quota = self.quotas.get(tenant or "", math.inf) / self.settings.balancers
-        return self.average > PRESSURE and self.held[tenant] + self.random.random() > quota * SHARE_SLACK
-
-    def _sample(self, flight: Flight) -> None:
-        """Chooses the few backends whose figures decide, probes those whose figure is old, and waits."""
-        flight.sample = self._candidates(flight) or flight.sample
-        life = REASK_US if flight.looks else self.fresh_us  # full, or by our own guesses since?
-        missing = [n for n in flight.sample if n in self.backends and self._probe(self.backends[n], life)]
-        if missing:
-            self.waiting[flight.request.id] = None
-            hold = min(int(flight.cls.objective_us * HOLD_SHARE), (flight.deadline - self.now) // 4)
-            self._timer(hold, HOLD + flight.request.id)
+        return (
+            self.average_load > QUOTA_ENFORCEMENT_LOAD
+            and self.tenant_connections[tenant] + self.random.random() > quota * QUOTA_TOLERANCE
+        )
+
+    def _choose_sample(self, tracked: TrackedRequest) -> None:
+        """Choose the few backends among which to decide, and wait for probes of those whose load is out of date."""
+        tracked.sample = self._sample_backends(tracked) or tracked.sample
+        # After a full sample, newer reports are wanted: our own placements alone may have made it look full.
+        lifetime_us = FULL_LOAD_LIFETIME_US if tracked.full_samples else self.load_lifetime_us
+        probed = [
+            name
+            for name in tracked.sample
+            if name in self.backends and self._request_load(self.backends[name], lifetime_us)
+        ]
+        if probed:
+            self.awaiting_probes[tracked.request.id] = None
+            share_us = int(tracked.request_class.objective_us * PROBE_WAIT_SHARE)
+            max_wait_us = (tracked.deadline_us - self.now_us) // PROBE_WAIT_REMAINING_DIVISOR
+            self._set_timer(min(share_us, max_wait_us), PROBE_WAIT_TIMER + tracked.request.id)
         else:
-            self._place(flight)
+            self._place_request(tracked)
 
-    def _probe(self, known: Known, life_us: int) -> bool:
-        """Asks for the load of a backend unless its figure is fresh; True while an answer is to come."""
-        fresh = known.load is not None and self.now - known.load_at < life_us
-        if fresh or not (self.settings.may_probe and self.settings.reports_load):
+    def _request_load(self, backend: BackendState, lifetime_us: int) -> bool:
+        """Probe a backend unless its load is recent enough; return whether an answer is awaited."""
+        is_recent = backend.load is not None and self.now_us - backend.load_at_us < lifetime_us
+        if is_recent or not (self.settings.may_probe and self.settings.reports_load):
             return False
-        if known.probed_at is None:  # never two probes at one that does not answer
-            known.probed_at = self.now
-            self.actions.append(api.Probe(known.info.name))
+        if backend.probe_sent_at_us is None:  # a backend that does not answer has one probe outstanding at most
+            backend.probe_sent_at_us = self.now_us
+            self.actions.append(api.Probe(backend.info.name))
         return True
 
-    def _place(self, flight: Flight) -> None:
-        """The ordinary path's last step: one weighted draw over the sampled backends that may take work."""
-        self.waiting.pop(flight.request.id, None)
-        names = [n for n in flight.sample if self._may_take(n, flight)]
-        answered = [n for n in names if self.backends[n].probed_at is None]
-        names = [n for n in answered or names if self._has_room(self.backends[n])]
-        if self.now >= flight.deadline:
-            self._settle(flight)
-        elif names:
-            self._attempt(flight, self.random.choices(names, self._floored(names))[0])
-        elif flight.looks == 1 + (self.settings.balancers <= FEW):  # all are full: a refusal sheds load
-            self._settle(flight)
+    def _place_request(self, tracked: TrackedRequest) -> None:
+        """Make one weighted draw among the sampled backends that may take the request.
+
+        Backends that have answered their probe come before those that have not. Where all are full, take another
+        sample, and in the end refuse: that sheds load.
+        """
+        self.awaiting_probes.pop(tracked.request.id, None)
+        eligible = [name for name in tracked.sample if self._is_eligible(name, tracked)]
+        answered = [name for name in eligible if self.backends[name].probe_sent_at_us is None]
+        available = [name for name in answered or eligible if self._has_capacity(self.backends[name])]
+        max_full_samples = 1 + (self.settings.balancers <= SMALL_DEPLOYMENT_BALANCERS)
+        if self.now_us >= tracked.deadline_us:
+            self._give_up(tracked)
+        elif available:
+            chosen = self.random.choices(available, self._scaled_weights(available))[0]
+            self._send_attempt(tracked, chosen)
+        elif tracked.full_samples == max_full_samples:
+            self._give_up(tracked)
         else:
-            flight.looks += 1
-            self._sample(flight)
-
-    def _floored(self, names: list[str]) -> list[float]:
-        weights = [self._weight(self.backends[n]) for n in names]
-        top = max(weights, default=1.0)
-        return [max(1.0, w / top * TOP_WEIGHT) for w in weights]
-
-    def _attempt(self, flight: Flight, name: str) -> None:
-        left = flight.deadline - self.now
-        # Where many attempts time out all is slow, and to send again early would pile work on work.
-        more = len(flight.tried) + 1 < self.settings.try_limit
-        share = PATIENCE_SHARE / self._nearness(self.backends[name])
-        aims = share + PATIENCE_LATE * self.lateness if more else math.inf
-        patience = int(min(left, flight.cls.objective_us * aims))
-        flight.tried.append(name)
-        flight.out = True
-        self.backends[name].placed.append(self.now)
-        if self._warmth(self.backends[name]) < 1:
-            self.warmed.append(self.now)
-        self.actions.append(api.Attempt(flight.request.id, name, self.now + max(patience, 1)))
+            tracked.full_samples += 1
+            self._choose_sample(tracked)
+
+    def _scaled_weights(self, names: list[str]) -> list[float]:
+        weights = [self._weight(self.backends[name]) for name in names]
+        largest = max(weights, default=1.0)
+        return [max(1.0, weight / largest * MAX_WEIGHT) for weight in weights]
+
+    def _send_attempt(self, tracked: TrackedRequest, name: str) -> None:
+        """Send the request to a backend, with a time-out that leaves time for another attempt if one may follow."""
+        backend = self.backends[name]
+        remaining_us = tracked.deadline_us - self.now_us
+        may_retry = len(tracked.attempted) + 1 < self.settings.try_limit
+        # A backend in another zone needs longer for its handshakes alone.
+        share = ATTEMPT_TIMEOUT_SHARE / self._zone_factor(backend)
+        objectives = share + TIMEOUT_RATE_EXTENSION * self.timeout_rate if may_retry else math.inf
+        timeout_us = int(min(remaining_us, tracked.request_class.objective_us * objectives))
+        tracked.attempted.append(name)
+        tracked.attempt_pending = True
+        backend.unreported_placements_us.append(self.now_us)
+        if self._warmth(backend) < 1:
+            self.cold_attempts_us.append(self.now_us)
+        self.actions.append(api.Attempt(tracked.request.id, name, self.now_us + max(timeout_us, 1)))
 
     # Weights.
 
-    def _weight(self, known: Known) -> float:
-        """Relative size x (1 / clamped load) ^ AGGRESSIVENESS, times what the exceptions say."""
-        clamped = max(self._load(known), self.average / LIMITING_FACTOR) + self._came()
-        weight = ((self.average + self._came()) / clamped) ** AGGRESSIVENESS if self.average > 0 else 1.0
-        return weight * self._nearness(known) * self._size(known) * self._warmth(known)
-
-    def _came(self) -> float:
-        """What the others place while a figure is in use, as load: in a rush all see the same idle one. Who
-        returns though no connection of ours has ended comes from another relay, which takes none now."""
-        strays = max(0, len(self.returned) - len(self.parted))
-        return (len(self.arrivals) * (self.settings.balancers - 1) - strays) / self._fills(None)
-
-    def _size(self, known: Known) -> float:
-        size = known.info.weight if self.settings.list_weights else 1.0
-        return size if 0 < size <= ABSURD else 1.0
-
-    def _nearness(self, known: Known) -> float:
-        """Crossing zones is priced, not forbidden: another zone's weight falls with the price."""
-        far = known.info.zone != self.settings.zone
-        return 1 / (1 + far * ZONE_AVERSION * self.settings.cross_zone_price)
-
-    def _load(self, known: Known) -> float:
-        """The figure, aged toward the average, plus own placements since and what the backlog asks."""
-        if known.load is None:
-            return self.average
-        trust = min(1.0, self.fresh_us / max(1, self.now - known.load_at))
-        load = self.average + (known.load - self.average) * trust
-        backlog = max(self._delay(known), known.backlog_s * trust)
-        return load + len(known.placed) / self._fills(known) + backlog / WORK_OFF_S
-
-    def _delay(self, known: Known) -> float:
-        return known.delay_s if self.now - known.delay_at < SLOW_LIFE_US else 0.0
-
-    def _fills(self, known: Known | None) -> float:
-        """Connections that fill a backend, as warm as it is, or all: as the shares or own ones tell."""
-        part = self._size(known) * self._warmth(known) / self.size if known else 1.0
-        held = max(self.standing * self.settings.balancers, 4.0 * len(self.backends)) / (self.average or 1)
-        return (sum(self.quotas.values()) or held or 1.0) * part
-
-    def _may_warm(self) -> bool:
-        """Rule 4 bounds what ALL relays send to a cold backend: each keeps to its part of the room there is.
-        Part of a send is kept by chance, drawn once in fall_us: drawn at each request it would add up."""
-        if self.now - self.chance_at >= self.settings.fall_us:
-            self.chance, self.chance_at = self.random.random(), self.now
-        self.warmed = [at for at in self.warmed if self.now - at < self.settings.fall_us]
-        cold = sum(self._fills(k) for k in self.backends.values() if self._warmth(k) < 1)
-        room = self.settings.fall_multiple * cold * self.settings.fall_us / max(1, self.settings.cold_us)
-        return len(self.warmed) + self.chance < room / self.settings.balancers
-
-    def _warmth(self, known: Known) -> float:
-        """The part of its capacity that a backend surely has by now: each connection fills more of it."""
-        started, settings = known.info.started_us, self.settings
-        if started is None or self.now - started >= settings.cold_us:
+    def _weight(self, backend: BackendState) -> float:
+        """Relative size x (average / clamped load) ^ LOAD_EXPONENT, times the factors for zone and warm-up."""
+        concurrent_load = self._concurrent_load()
+        clamped_load = max(self._estimated_load(backend), self.average_load / MIN_LOAD_DIVISOR) + concurrent_load
+        average_load = self.average_load + concurrent_load
+        weight = (average_load / clamped_load) ** LOAD_EXPONENT if self.average_load > 0 else 1.0
+        return weight * self._zone_factor(backend) * self._relative_size(backend) * self._warmth(backend)
+
+    def _concurrent_load(self) -> float:
+        """Estimate the load that the other balancers add, spread over all backends, while a report is in use.
+
+        In a rush of arrivals all balancers see the same idle backend in the same reports and would fill it together.
+        Each recent arrival here stands for one at each other balancer. A client that returns though no connection of
+        ours has ended comes from a balancer that takes none now, and does not stand for another arrival there.
+        """
+        foreign_returns = max(0, len(self.recent_returns) - len(self.recent_ends))
+        arrivals_elsewhere = len(self.recent_arrivals) * (self.settings.balancers - 1) - foreign_returns
+        return arrivals_elsewhere / self._connection_capacity(None)
+
+    def _relative_size(self, backend: BackendState) -> float:
+        """The listed weight; a faulty one (zero, negative, NaN, huge) counts as 1, as it would distort all shares."""
+        size = backend.info.weight if self.settings.list_weights else 1.0
+        return size if 0 < size <= MAX_PLAUSIBLE_VALUE else 1.0
+
+    def _zone_factor(self, backend: BackendState) -> float:
+        """Crossing zones is priced, not forbidden: the weight of another zone falls with the price."""
+        is_other_zone = backend.info.zone != self.settings.zone
+        return 1 / (1 + is_other_zone * CROSS_ZONE_PENALTY * self.settings.cross_zone_price)
+
+    def _estimated_load(self, backend: BackendState) -> float:
+        """The reported load, drawn toward the average as it ages, plus own later placements and the backlog."""
+        if backend.load is None:
+            return self.average_load
+        trust = min(1.0, self.load_lifetime_us / max(1, self.now_us - backend.load_at_us))
+        aged_load = self.average_load + (backend.load - self.average_load) * trust
+        backlog_s = max(self._recent_message_delay_s(backend), backend.backlog_s * trust)
+        placed_load = len(backend.unreported_placements_us) / self._connection_capacity(backend)
+        return aged_load + placed_load + backlog_s / BACKLOG_TARGET_S
+
+    def _recent_message_delay_s(self, backend: BackendState) -> float:
+        is_recent = self.now_us - backend.message_delay_at_us < MESSAGE_DELAY_LIFETIME_US
+        return backend.message_delay_s if is_recent else 0.0
+
+    def _connection_capacity(self, backend: BackendState | None) -> float:
+        """Connections that fill a backend, as warm as it is now, or all backends for None.
+
+        The total is the sum of the tenants' quotas; without quotas it follows from own connections and average load.
+        """
+        part = self._relative_size(backend) * self._warmth(backend) / self.total_size if backend else 1.0
+        connections = max(
+            self.open_connections * self.settings.balancers, MIN_CONNECTIONS_PER_BACKEND * len(self.backends)
+        )
+        estimate = connections / (self.average_load or 1)
+        return (sum(self.quotas.values()) or estimate or 1.0) * part
+
+    def _cold_budget_remains(self) -> bool:
+        """Tell whether this balancer may send another request to a cold backend now (rule 4).
+
+        The bound holds for all balancers together, so each keeps to its share of the budget. A fraction of an attempt
+        is granted by chance, drawn once in fall_us: drawn anew for each request, the grants would add up.
+        """
+        if self.now_us - self.cold_rounding_at_us >= self.settings.fall_us:
+            self.cold_rounding = self.random.random()
+            self.cold_rounding_at_us = self.now_us
+        self.cold_attempts_us = [
+            sent_us for sent_us in self.cold_attempts_us if self.now_us - sent_us < self.settings.fall_us
+        ]
+        cold_capacity = sum(self._connection_capacity(b) for b in self.backends.values() if self._warmth(b) < 1)
+        budget = self.settings.fall_multiple * cold_capacity * self.settings.fall_us / max(1, self.settings.cold_us)
+        return len(self.cold_attempts_us) + self.cold_rounding < budget / self.settings.balancers
+
+    def _warmth(self, backend: BackendState) -> float:
+        """The part of its full capacity that a backend surely has by now; 1 once its warm-up is over."""
+        started_us = backend.info.started_us
+        settings = self.settings
+        if started_us is None or self.now_us - started_us >= settings.cold_us:
             return 1.0
-        return settings.cold_from + (1 - settings.cold_from) * max(0, self.now - started) / settings.cold_us
+        return settings.cold_from + (1 - settings.cold_from) * max(0, self.now_us - started_us) / settings.cold_us
 
-    # Who may take work.
+    # Eligible backends.
 
-    def _may_take(self, name: str, flight: Flight) -> bool:
-        known = self.backends.get(name)
-        if known is None or known.info.state is not State.RUNNING:
+    def _is_eligible(self, name: str, tracked: TrackedRequest) -> bool:
+        """Tell whether the rules allow the request on this backend at all."""
+        backend = self.backends.get(name)
+        if backend is None or backend.info.state is not State.RUNNING:
             return False
-        return (flight.warms or self._warmth(known) >= 1) and self._keyed_allows(known, flight)
-
-    def _is_well(self, name: str, flight: Flight) -> bool:
-        """Fit for the first choice: not tried for this request, and not masked for its failures."""
-        trusted = self.doubt or self.now >= self.backends[name].suspect_until
-        return trusted and name not in flight.tried and self._may_take(name, flight)
-
-    def _has_room(self, known: Known) -> bool:
-        misses_aims = self._delay(known) >= (self.message_aim_s or math.inf)
-        return self._load(known) + self._came() / 2 < self.full and not misses_aims  # half came since
-
-    def _keyed_allows(self, known: Known, flight: Flight) -> bool:
-        """A keyed request that may have run goes only where, and while, its repeat is dropped."""
-        if flight.ran_on is None or flight.cls.effect is api.Effect.SAFE:
+        return (tracked.may_use_cold or self._warmth(backend) >= 1) and self._may_repeat_on(backend, tracked)
+
+    def _is_first_choice(self, name: str, tracked: TrackedRequest) -> bool:
+        """Tell whether the backend is eligible, not yet tried for this request, and not masked for its failures."""
+        is_trusted = self.ignore_masks or self.now_us >= self.backends[name].masked_until_us
+        return is_trusted and name not in tracked.attempted and self._is_eligible(name, tracked)
+
+    def _has_capacity(self, backend: BackendState) -> bool:
+        misses_aim = self._recent_message_delay_s(backend) >= (self.message_aim_s or math.inf)
+        # On average half of the concurrent placements came since the report.
+        load = self._estimated_load(backend) + self._concurrent_load() / 2
+        return load < self.full_load and not misses_aim
+
+    def _may_repeat_on(self, backend: BackendState, tracked: TrackedRequest) -> bool:
+        """Apply rule 2: a keyed request that may have run goes only where, and while, its repeat is recognised."""
+        if tracked.first_run_on is None or tracked.request_class.effect is api.Effect.SAFE:
             return True
-        if flight.cls.effect is api.Effect.UNSAFE or self.now - flight.ran_at >= flight.cls.memory_span_us:
+        elapsed_us = self.now_us - tracked.started_at_us
+        if tracked.request_class.effect is api.Effect.UNSAFE or elapsed_us >= tracked.request_class.memory_span_us:
             return False
-        first, here = flight.ran_on, known.info
-        same = {Scope.ALL: True, Scope.ZONE: first.zone == here.zone, Scope.CELL: first.cell == here.cell}
-        return same[flight.cls.dedup_scope]
-
-    def _candidates(self, flight: Flight) -> list[str]:  # draws from the table, or a group's homes
-        self._rebuild()
-        if flight.looks == 2:
-            left = [n for n in self.table if self._may_take(n, flight) and not self._is_well(n, flight)]
-            left = [n for n in left if not self.backends[n].mute]  # better one that fails but answers
-            return self.random.sample(left, min(SAMPLE, len(left)))
-        if self.settings.groups and flight.request.group is not None and not flight.looks:
-            return self._homes(flight)
-        return self._anywhere(flight)
-
-    def _anywhere(self, flight: Flight) -> list[str]:
-        fit = [n for n in self.table if self._is_well(n, flight)]
-        fit = fit or [n for n in self.table if self._may_take(n, flight)]
-        draws = [(n in flight.sample, self.random.expovariate(self.table[n]), n) for n in fit]
-        return [n for *_, n in nsmallest(SAMPLE, draws)]  # one by one by weight, who was looked at last
-
-    def _homes(self, flight: Flight) -> list[str]:
-        """A group's connections share work on a backend: every relay leans to the same few for a group."""
+        first = tracked.first_run_on
+        candidate = backend.info
+        in_scope = {
+            Scope.ALL: True,
+            Scope.ZONE: first.zone == candidate.zone,
+            Scope.CELL: first.cell == candidate.cell,
+        }
+        return in_scope[tracked.request_class.dedup_scope]
+
+    def _sample_backends(self, tracked: TrackedRequest) -> list[str]:
+        """Choose a sample: a group's own backends at first, then any, and at last those that fail but still answer."""
+        self._refresh_weights()
+        if tracked.full_samples == 2:
+            remaining = [
+                name
+                for name in self.weights
+                if self._is_eligible(name, tracked) and not self._is_first_choice(name, tracked)
+            ]
+            # One that answered with a failure may serve this request; one that timed out would use up its time.
+            answering = [name for name in remaining if not self.backends[name].last_failure_was_timeout]
+            return self.random.sample(answering, min(SAMPLE_SIZE, len(answering)))
+        if self.settings.groups and tracked.request.group is not None and not tracked.full_samples:
+            return self._sample_for_group(tracked)
+        return self._weighted_sample(tracked)
+
+    def _weighted_sample(self, tracked: TrackedRequest) -> list[str]:
+        """Draw backends one by one by weight, without replacement; those of the previous sample come last."""
+        fit = [name for name in self.weights if self._is_first_choice(name, tracked)]
+        fit = fit or [name for name in self.weights if self._is_eligible(name, tracked)]
+        # The order of exponential variates with the weights as rates is that of such a draw.
+        draws = [(name in tracked.sample, self.random.expovariate(self.weights[name]), name) for name in fit]
+        return [name for *_, name in nsmallest(SAMPLE_SIZE, draws)]
+
+    def _sample_for_group(self, tracked: TrackedRequest) -> list[str]:
+        """Choose the best-ranked backends of the request's group, by weighted rendezvous hashing.
+
+        Connections of one group share work on a backend, so every balancer prefers the same few for a group.
+        """
         ranked = []
-        for name in self.table:
-            known = self.backends[name]
-            part = closeness(known, flight.request.group or 0)
-            ranked.append((-math.log(part) / self._nearness(known) / self._size(known), name))
-        best = [name for _, name in nsmallest(SAMPLE * 4, ranked)]
-        return [n for n in best if self._is_well(n, flight)][:SAMPLE] or self._anywhere(flight)
-
-    def _rebuild(self) -> None:  # once an interval: the weights of all backends
-        if self.table_at is not None and self.now - self.table_at < self.fresh_us:
+        for name in self.weights:
+            backend = self.backends[name]
+            hashed = rendezvous_hash(backend, tracked.request.group or 0)
+            ranked.append((-math.log(hashed) / self._zone_factor(backend) / self._relative_size(backend), name))
+        best = [name for _, name in nsmallest(GROUP_RANKED_BACKENDS, ranked)]
+        fit = [name for name in best if self._is_first_choice(name, tracked)]
+        return fit[:SAMPLE_SIZE] or self._weighted_sample(tracked)
+
+    def _refresh_weights(self) -> None:
+        """Compute the weights of all running backends anew, once in load_lifetime_us."""
+        if self.weights_at_us is not None and self.now_us - self.weights_at_us < self.load_lifetime_us:
             return
-        self.table_at = self.now
-        names = [n for n, k in self.backends.items() if k.info.state is State.RUNNING]
-        self.table = dict(zip(names, self._floored(names), strict=True))
-        suspects = sum(self.now < self.backends[n].suspect_until for n in self.table)
-        self.doubt = suspects > DOUBT_SHARE * len(self.table)
+        self.weights_at_us = self.now_us
+        names = [name for name, backend in self.backends.items() if backend.info.state is State.RUNNING]
+        self.weights = dict(zip(names, self._scaled_weights(names), strict=True))
+        masked = sum(self.now_us < self.backends[name].masked_until_us for name in self.weights)
+        self.ignore_masks = masked > IGNORE_MASKS_SHARE * len(self.weights)
 
-    # What comes back.
+    # Results of attempts and probes.
 
     def _on_opened(self, event: api.Opened) -> None:
-        flight, known = self.flights.get(event.id), self.backends.get(event.backend)
-        if flight is None:
+        tracked = self.requests.get(event.id)
+        backend = self.backends.get(event.backend)
+        if tracked is None:
             return
-        flight.stands, flight.ran_at = True, self.now
-        self._stand(flight, 1)
-        self._score(False)
-        if known is not None:
-            known.open[event.id] = None
-            known.strikes, known.suspect_until = 0, -math.inf
+        tracked.is_open = True
+        tracked.started_at_us = self.now_us
+        self._count_connection(tracked, 1)
+        self._update_timeout_rate(False)
+        if backend is not None:
+            backend.connections[event.id] = None
+            backend.consecutive_failures = 0
+            backend.masked_until_us = -math.inf
 
     def _on_inherited(self, event: api.Inherited) -> None:
-        cls = self.classes.get(event.request.cls, self.settings.classes[0])
-        flight = Flight(event.request, cls, self.now, tried=[event.backend], out=True, stands=True)
-        self.flights[event.request.id] = flight
-        self._stand(flight, 1)
-        known = self.backends.get(event.backend)
-        if known is not None:
-            known.open[event.request.id] = None
+        request_class = self.classes.get(event.request.cls, self.settings.classes[0])
+        tracked = TrackedRequest(
+            event.request,
+            request_class,
+            self.now_us,
+            attempted=[event.backend],
+            attempt_pending=True,
+            is_open=True,
+        )
+        self.requests[event.request.id] = tracked
+        self._count_connection(tracked, 1)
+        backend = self.backends.get(event.backend)
+        if backend is not None:
+            backend.connections[event.request.id] = None
 
     def _on_note(self, event: api.Note) -> None:
-        known, flight = self.backends.get(event.backend), self.flights.get(event.id)
-        if flight is not None and event.kind is NoteKind.SILENCE and event.value >= MUTE_MS:
-            self._leave(event.id)  # nothing comes back on it: the client is better off elsewhere
+        backend = self.backends.get(event.backend)
+        tracked = self.requests.get(event.id)
+        if tracked is not None and event.kind is NoteKind.SILENCE and event.value >= CONNECTION_SILENCE_MS:
+            self._move_connection(event.id)
             return
-        if known is not None and event.kind is NoteKind.HUSH and event.value >= HUSH_MS:
-            self._strike(known, Status.TIMED_OUT)  # it died without a word: its clients would each find out
-            for request in list(known.open):
-                self._leave(request)
+        if backend is not None and event.kind is NoteKind.HUSH and event.value >= BACKEND_SILENCE_MS:
+            # The backend died without closing its connections. Without a move, each client would find out by itself.
+            self._mask(backend, Status.TIMED_OUT)
+            for request_id in list(backend.connections):
+                self._move_connection(request_id)
             return
-        if flight is not None and event.kind is NoteKind.LOAD and LEAST_LOAD <= event.value <= ABSURD:
-            flight.load = event.value
-        if known is None or flight is None or event.kind is not NoteKind.DELAY or not _sane(event.value):
+        is_load = event.kind is NoteKind.LOAD and MIN_CONNECTION_LOAD <= event.value <= MAX_PLAUSIBLE_VALUE
+        if tracked is not None and is_load:
+            tracked.load = event.value
+        is_delay = event.kind is NoteKind.DELAY and _is_plausible(event.value)
+        if backend is None or tracked is None or not is_delay:
             return
-        load = self._delayed(known, event.value / 1000, flight.cls.message_aim_us / 1e6)
+        load = self._load_from_delay(backend, event.value / 1000, tracked.request_class.message_aim_us / 1e6)
         if load:
-            self._relieve(known, load)
-
-    def _delayed(self, known: Known, delay_s: float, aim_s: float) -> float:
-        """Takes what a message takes there; the load that this shows where it misses its aim, or 0."""
-        since = self.now - known.delay_at
-        rise = (delay_s - known.delay_s) * 1e6 / since if 0 < since < SLOW_LIFE_US else 0.0
-        known.delay_s, known.delay_at = delay_s, self.now
-        return max(0.0, 1 + rise) + MOVE_EAGERNESS * delay_s / aim_s if 0 < aim_s <= delay_s else 0.0
-
-    def _relieve(self, known: Known, load: float) -> None:
-        """Nothing is earned where messages miss their aim: what is too much there moves off. A backlog grows
-        by the load over 1, so the delay's rise from note to note tells the load, sooner than a report."""
-        # In a full fleet the moved come back as a storm of set-ups and find no better place.
-        known.relieved_at = self.now
-        part = min(1.0, max(MOVE_LEAST, (self.full - self.average) * MOVE_ROOM)) * (1 - MOVE_TARGET / load)
-        # The heaviest first: the fewest moves take most off. Who has told no load counts as the mean.
-        told = {r: self.flights[r].load for r in known.open}
-        mean = sum(told.values()) / max(1, sum(load > 0 for load in told.values())) or 1.0
-        costs = {r: load or mean for r, load in told.items()}
-        owed, chance = part * sum(costs.values()), self.random.random()
-        for request in sorted(costs, key=lambda r: told[r] or mean * self.random.random(), reverse=True):
-            if owed > costs[request] * chance:
-                self._leave(request)
-                owed -= costs[request]
-
-    def _leave(self, request: str) -> None:
-        """Moves a standing connection: its client is told and comes back as a new request."""
-        self._drop(request)
-        self.actions.append(api.Move(request))
+            self._shed_connections(backend, load)
+
+    def _load_from_delay(self, backend: BackendState, delay_s: float, aim_s: float) -> float:
+        """Record a message delay; return the load that it shows where it misses its aim, else 0.
+
+        A backlog grows by the load above 1, so the rise of the delay shows the load sooner than a report does.
+        """
+        elapsed_us = self.now_us - backend.message_delay_at_us
+        is_recent = 0 < elapsed_us < MESSAGE_DELAY_LIFETIME_US
+        rise = (delay_s - backend.message_delay_s) * 1e6 / elapsed_us if is_recent else 0.0
+        backend.message_delay_s = delay_s
+        backend.message_delay_at_us = self.now_us
+        if 0 < aim_s <= delay_s:
+            return max(0.0, 1 + rise) + LOAD_PER_MESSAGE_AIM * delay_s / aim_s
+        return 0.0
+
+    def _shed_connections(self, backend: BackendState, load: float) -> None:
+        """Move the excess load off a backend whose messages miss their aim, for nothing is earned there."""
+        backend.last_shed_at_us = self.now_us
+        free_load = self.full_load - self.average_load
+        move_share = min(1.0, max(MIN_SHED_SHARE, free_load * SHED_SHARE_PER_FREE_LOAD))
+        share = move_share * (1 - SHED_TARGET_LOAD / load)
+        # The heaviest connections go first, so that the fewest moves take off the most. One that has reported no load
+        # counts as the mean of the others, and is chosen by chance.
+        reported = {request_id: self.requests[request_id].load for request_id in backend.connections}
+        reported_count = sum(connection_load > 0 for connection_load in reported.values())
+        mean = sum(reported.values()) / max(1, reported_count) or 1.0
+        loads = {request_id: connection_load or mean for request_id, connection_load in reported.items()}
+        excess = share * sum(loads.values())
+        # A connection that is larger than what is left of the excess is moved with the matching probability.
+        threshold = self.random.random()
+        heaviest_first = sorted(
+            loads, key=lambda request_id: reported[request_id] or mean * self.random.random(), reverse=True
+        )
+        for request_id in heaviest_first:
+            if excess > loads[request_id] * threshold:
+                self._move_connection(request_id)
+                excess -= loads[request_id]
+
+    def _move_connection(self, request_id: str) -> None:
+        """Move an open connection: its client is told, and comes back as a new request."""
+        self._forget(request_id)
+        self.actions.append(api.Move(request_id))
 
     def _on_outcome(self, event: api.Outcome) -> None:
-        known, flight = self.backends.get(event.backend), self.flights.get(event.id)
-        if known is not None:
-            self._report(known, event.report)
-        if flight is None or event.attempt != len(flight.tried) - 1:
+        backend = self.backends.get(event.backend)
+        tracked = self.requests.get(event.id)
+        if backend is not None:
+            self._apply_report(backend, event.report)
+        if tracked is None or event.attempt != len(tracked.attempted) - 1:
             return
-        flight.out = False
-        # A full backend sheds its newest. One that cuts old connections or errs is no jam of the fleet.
-        shed = event.status is Status.CUT and self.now - flight.ran_at < YOUNG_US
-        self._score(shed or event.status is Status.TIMED_OUT)
-        if not flight.stands and known is not None:
-            del known.placed[-1:]
+        tracked.attempt_pending = False
+        # A busy backend sheds its newest connections. Old connections that are cut, as when a zone dies, and errors are
+        # no congestion of the fleet.
+        was_shed = event.status is Status.CUT and self.now_us - tracked.started_at_us < SHED_CONNECTION_AGE_US
+        self._update_timeout_rate(was_shed or event.status is Status.TIMED_OUT)
+        if not tracked.is_open and backend is not None:
+            del backend.unreported_placements_us[-1:]
             if event.status in FAILURES:
-                self._strike(known, event.status)
-        if event.finished or flight.stands:
-            self._drop(event.id)
+                self._mask(backend, event.status)
+        if event.finished or tracked.is_open:
+            self._forget(event.id)
             return
-        if event.status.may_have_run and flight.ran_on is None:
-            flight.ran_on = known.info if known else api.Backend(event.backend)
-            flight.ran_at = self.now - event.took_us
-        self._retry(flight)
-
-    def _score(self, late: bool) -> None:
-        self.lateness += (late - self.lateness) / LATE_SPAN
-
-    def _strike(self, known: Known, how: Status) -> None:
-        """A backend that failed an attempt or a probe is masked, longer each time, then tried again. One that
-        errs looks the better for it: the fewer requests a relay sees, the longer it is masked."""
-        rest = max(1.0, self.settings.balancers / FEW) if how is Status.ERROR else 1.0
-        known.suspect_until = self.now + SUSPECT_AIMS * self.aim_us * 2**known.strikes * rest
-        known.strikes, known.mute = min(known.strikes + 1, MOST_STRIKES), how is Status.TIMED_OUT
-
-    def _retry(self, flight: Flight) -> None:
-        left = flight.deadline - self.now
-        jam = self.random.random() < self.lateness**2  # where all is late a retry only adds to the jam
-        if jam or len(flight.tried) >= self.settings.try_limit or left < flight.cls.objective_us // 16:
-            self._settle(flight)
+        if event.status.may_have_run and tracked.first_run_on is None:
+            tracked.first_run_on = backend.info if backend else api.Backend(event.backend)
+            tracked.started_at_us = self.now_us - event.took_us
+        self._retry(tracked)
+
+    def _update_timeout_rate(self, timed_out: bool) -> None:
+        self.timeout_rate += (timed_out - self.timeout_rate) / TIMEOUT_RATE_WINDOW_ATTEMPTS
+
+    def _mask(self, backend: BackendState, status: Status) -> None:
+        """Mask a backend that failed an attempt or a probe, for longer with each consecutive failure.
+
+        One that answers errors holds nothing and so looks the best of all. The more balancers there are, the fewer
+        requests each of them sees and the longer it masks such a backend, or all together would keep sending to it.
+        """
+        is_error = status is Status.ERROR
+        deployment_factor = max(1.0, self.settings.balancers / SMALL_DEPLOYMENT_BALANCERS) if is_error else 1.0
+        duration_us = MASK_OBJECTIVES * self.min_objective_us * 2**backend.consecutive_failures * deployment_factor
+        backend.masked_until_us = self.now_us + duration_us
+        backend.consecutive_failures = min(backend.consecutive_failures + 1, MAX_CONSECUTIVE_FAILURES)
+        backend.last_failure_was_timeout = status is Status.TIMED_OUT
+
+    def _retry(self, tracked: TrackedRequest) -> None:
+        """Try another backend, or give up where no attempt or too little time is left, or the fleet is congested."""
+        remaining_us = tracked.deadline_us - self.now_us
+        min_remaining_us = tracked.request_class.objective_us // MIN_RETRY_OBJECTIVE_DIVISOR
+        # Where everything times out, a retry only adds to the congestion.
+        is_congested = self.random.random() < self.timeout_rate**2
+        attempts_used_up = len(tracked.attempted) >= self.settings.try_limit
+        if is_congested or attempts_used_up or remaining_us < min_remaining_us:
+            self._give_up(tracked)
         else:
-            flight.looks = min(flight.looks, 1)  # those that are well come first again
-            self._sample(flight)
-
-    def _settle(self, flight: Flight) -> None:
-        """The one final answer: a refusal where trying again is harmless, else a failure."""
-        cls = flight.cls
-        harmless = (
-            flight.ran_on is None
-            or cls.effect is api.Effect.SAFE
-            or (cls.effect is api.Effect.KEYED and cls.dedup_scope is Scope.ALL)
+            # Healthy backends come first again, also when this attempt went to a masked one.
+            tracked.full_samples = min(tracked.full_samples, 1)
+            self._choose_sample(tracked)
+
+    def _give_up(self, tracked: TrackedRequest) -> None:
+        """Send the one final answer (rule 1): a refusal where another try by the client is harmless, else a failure."""
+        request_class = tracked.request_class
+        is_harmless = (
+            tracked.first_run_on is None
+            or request_class.effect is api.Effect.SAFE
+            or (request_class.effect is api.Effect.KEYED and request_class.dedup_scope is Scope.ALL)
         )
-        self._drop(flight.request.id)
-        # Never at once: what was in the way will not have gone, and a client has few tries.
-        share = max(self.lateness, REST_SHARE * (0.5 + self.random.random()))
-        wait = int(self.settings.max_retry_after_us * min(1.0, share))
-        self.actions.append(api.Refuse(flight.request.id, wait) if harmless else api.Fail(flight.request.id))
-
-    def _drop(self, request: str) -> Flight | None:
-        """Forgets a request that is over."""
-        flight = self.flights.pop(request, None)
-        self.waiting.pop(request, None)
-        if flight is not None and flight.stands:
-            self.parted.add(request, self.now)
-            self._stand(flight, -1)
-            if (known := self.backends.get(flight.tried[-1])) is not None:
-                known.open.pop(request, None)
-        return flight
-
-    def _on_gone(self, event: api.ClientGone) -> None:
-        flight = self._drop(event.id)
-        if flight is not None and flight.out and not flight.stands and self.settings.may_cancel:
-            self.actions.append(api.Cancel(event.id, len(flight.tried) - 1))
-
-    def _on_probe(self, event: api.ProbeResult) -> None:
-        known = self.backends.get(event.backend)
-        if known is not None:
-            known.probed_at = None
+        self._forget(tracked.request.id)
+        # Never at once: the obstacle would still be there, and a client has few tries.
+        wait_share = max(self.timeout_rate, MIN_RETRY_AFTER_SHARE * (0.5 + self.random.random()))
+        retry_after_us = int(self.settings.max_retry_after_us * min(1.0, wait_share))
+        request_id = tracked.request.id
+        self.actions.append(api.Refuse(request_id, retry_after_us) if is_harmless else api.Fail(request_id))
+
+    def _forget(self, request_id: str) -> TrackedRequest | None:
+        """Remove a request that is over, and return what was known of it."""
+        tracked = self.requests.pop(request_id, None)
+        self.awaiting_probes.pop(request_id, None)
+        if tracked is not None and tracked.is_open:
+            self.recent_ends.record(request_id, self.now_us)
+            self._count_connection(tracked, -1)
+            backend = self.backends.get(tracked.attempted[-1])
+            if backend is not None:
+                backend.connections.pop(request_id, None)
+        return tracked
+
+    def _on_client_gone(self, event: api.ClientGone) -> None:
+        tracked = self._forget(event.id)
+        if tracked is not None and tracked.attempt_pending and not tracked.is_open and self.settings.may_cancel:
+            self.actions.append(api.Cancel(event.id, len(tracked.attempted) - 1))
+
+    def _on_probe_result(self, event: api.ProbeResult) -> None:
+        backend = self.backends.get(event.backend)
+        if backend is not None:
+            backend.probe_sent_at_us = None
             if event.status is Status.SERVED:
-                self._report(known, event.report)
-            elif event.status not in (Status.NO_ROOM, Status.ERROR):  # asked by too many, it answers errors
-                self._strike(known, event.status)
-        for flight in [self.flights[r] for r in self.waiting if event.backend in self.flights[r].sample]:
-            if all(n not in self.backends or self.backends[n].probed_at is None for n in flight.sample):
-                self._place(flight)
-
-    def _report(self, known: Known, report: api.Report | None) -> None:
-        """Takes the load over capacity, or the best figure there is; only a share of capacity can be full."""
+                self._apply_report(backend, event.report)
+            elif event.status not in (Status.NO_ROOM, Status.ERROR):
+                # A healthy backend that too many balancers probe answers with an error, so an error masks nothing.
+                self._mask(backend, event.status)
+        waiting = [self.requests[request_id] for request_id in self.awaiting_probes]
+        for tracked in [request for request in waiting if event.backend in request.sample]:
+            listed = [self.backends[name] for name in tracked.sample if name in self.backends]
+            if all(backend.probe_sent_at_us is None for backend in listed):
+                self._place_request(tracked)
+
+    def _apply_report(self, backend: BackendState, report: api.Report | None) -> None:
+        """Take the first plausible figure of a report as the backend's load, and shed connections if it is overloaded.
+
+        The load and the utilisation are shares of the capacity. Counts (in flight, queued) have no level that is full.
+        """
         if report is None:
             return
         for value in (report.load, report.utilisation, report.inflight, report.queue):
-            if value is not None and _sane(value):
-                self.full = FULL_LOAD if value in (report.load, report.utilisation) else math.inf
-                known.load, known.load_at = value, self.now
-                known.placed = [at for at in known.placed if self.now - at < REPORT_AGE_US]
-                known.backlog_s = report.backlog_s if report.backlog_s and _sane(report.backlog_s) else 0.0
-                self.reports = min(self.reports + 1, AVERAGE_SPAN)
-                # A slowed backend reports many times what it can do: to the fleet it is no more than full.
-                counted = min(value, 1.0) if self.full == FULL_LOAD else value
-                self.average += (counted - self.average) / self.reports
-                load = value * REPORT_LEAN if self.full == FULL_LOAD and value > OVERLOAD else 0.0
-                if report.latency_ms is not None and _sane(report.latency_ms):
-                    # A backlog outlives the load that made it: until it is gone nothing is earned there.
-                    load = max(load, self._delayed(known, report.latency_ms / 1000, self.message_aim_s))
-                if load and self.now - known.relieved_at >= RELIEF_EVERY_US:
-                    self._relieve(known, load)
+            if value is not None and _is_plausible(value):
+                self.full_load = FULL_LOAD if value in (report.load, report.utilisation) else math.inf
+                backend.load = value
+                backend.load_at_us = self.now_us
+                backend.unreported_placements_us = [
+                    at_us for at_us in backend.unreported_placements_us if self.now_us - at_us < REPORT_AGE_US
+                ]
+                backend.backlog_s = report.backlog_s if report.backlog_s and _is_plausible(report.backlog_s) else 0.0
+                self.report_count = min(self.report_count + 1, AVERAGE_WINDOW_REPORTS)
+                # A slowed backend reports many times its capacity; to the fleet's average it is no more than full.
+                is_share = self.full_load == FULL_LOAD
+                counted_load = min(value, 1.0) if is_share else value
+                self.average_load += (counted_load - self.average_load) / self.report_count
+                excessive_load = value * REPORTED_OVERLOAD_FACTOR if is_share and value > OVERLOAD else 0.0
+                if report.latency_ms is not None and _is_plausible(report.latency_ms):
+                    # A backlog outlives the load that caused it, and until it is gone nothing is earned there.
+                    delay_load = self._load_from_delay(backend, report.latency_ms / 1000, self.message_aim_s)
+                    excessive_load = max(excessive_load, delay_load)
+                if excessive_load and self.now_us - backend.last_shed_at_us >= SHED_INTERVAL_US:
+                    self._shed_connections(backend, excessive_load)
                 return
 
-    def _on_timer(self, event: api.TimerFired) -> None:
-        if event.token == ASK:
+    def _on_timer_fired(self, event: api.TimerFired) -> None:
+        if event.token == SUBSCRIBE_TIMER:
             self.actions.append(api.Subscribe())
             return
-        if event.token == LOOK:
-            for known in self.backends.values():
-                if known.open and known.info.state is State.RUNNING:
-                    self._probe(known, self.fresh_us)
-            self.looking = False
-            self._look_later()
+        if event.token == LOAD_POLL_TIMER:
+            for backend in self.backends.values():
+                if backend.connections and backend.info.state is State.RUNNING:
+                    self._request_load(backend, self.load_lifetime_us)
+            self.load_poll_scheduled = False
+            self._schedule_load_poll()
             return
-        drained = self.backends.get(event.token.removeprefix(LEFT)) if event.token.startswith(LEFT) else None
+        if event.token.startswith(DRAIN_TIMER):
+            drained = self.backends.get(event.token.removeprefix(DRAIN_TIMER))
+        else:
+            drained = None
         if drained is not None and drained.info.state is State.DRAINING:
-            for request in list(drained.open):
-                self._leave(request)  # a client is told to move before its backend leaves
-        if (held := event.token.removeprefix(HOLD)) in self.waiting:
-            self._place(self.flights[held])
+            for request_id in list(drained.connections):
+                self._move_connection(request_id)  # a client must be told before its backend goes away
+        waiting_id = event.token.removeprefix(PROBE_WAIT_TIMER)
+        if waiting_id in self.awaiting_probes:
+            self._place_request(self.requests[waiting_id])
 
-    def _timer(self, after_us: int, token: str) -> None:
-        self.actions.append(api.SetTimer(max(1, after_us), token))
+    def _set_timer(self, delay_us: int, token: str) -> None:
+        self.actions.append(api.SetTimer(max(1, delay_us), token))
 
 
-def _sane(value: float) -> bool:
-    return 0 <= value <= ABSURD
+def _is_plausible(value: float) -> bool:
+    """Tell whether a reported figure can be true; NaN, infinite and negative ones are faulty readings."""
+    return 0 <= value <= MAX_PLAUSIBLE_VALUE
--- a/vanegw/state.py
+++ b/vanegw/state.py
@@ -1,4 +1,4 @@
-"""What one balancer remembers of a backend and of a request. Records only: every decision is in rules.py."""
+"""State that one balancer keeps for each backend and each request. Records only: every decision is in rules.py."""
 
 from __future__ import annotations
 
@@ -9,66 +9,67 @@
 
 from vanegw import interface as api
 
-_TAGS = 2**64
-_SPREAD = 0x9E3779B97F4A7C15  # an odd multiplier whose bits are well spread
+_HASH_RANGE = 2**64
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 / golden ratio, odd: spreads neighbouring inputs over all bits
 
 
 @dataclass(slots=True)
-class Known:
-    """What this relay knows of one backend."""
+class BackendState:
+    """What this balancer knows of one backend. Times are those of ``Balancer.handle``, in microseconds."""
 
     info: api.Backend
-    load: float | None = None
-    load_at: int = 0
-    backlog_s: float = 0.0
-    placed: list[int] = field(default_factory=list)  # when own placements were made that no report shows yet
-    suspect_until: float = -math.inf
-    strikes: int = 0
-    mute: bool = False  # at its last failure it said nothing
-    delay_s: float = 0.0  # seconds that a message took there at the last note
-    delay_at: int = 0
-    relieved_at: float = -math.inf  # when connections were last moved off it for its load
-    probed_at: int | None = None  # when the probe that is out was sent
-    open: dict[str, None] = field(default_factory=dict)  # own connections, in order
-    tag: int = field(init=False)  # a number made from the name, the same at every relay
+    load: float | None = None  # as last reported
+    load_at_us: int = 0
+    backlog_s: float = 0.0  # as last reported
+    unreported_placements_us: list[int] = field(default_factory=list)  # times of own placements not yet in a report
+    masked_until_us: float = -math.inf
+    consecutive_failures: int = 0  # counted up to rules.MAX_CONSECUTIVE_FAILURES
+    last_failure_was_timeout: bool = False
+    message_delay_s: float = 0.0  # as last noted or reported
+    message_delay_at_us: int = 0
+    last_shed_at_us: float = -math.inf  # when connections were last moved away because of its load
+    probe_sent_at_us: int | None = None  # None while no probe is outstanding
+    connections: dict[str, None] = field(default_factory=dict)  # request ids of own open connections, in order
+    name_hash: int = field(init=False)  # the same in every process
 
     def __post_init__(self) -> None:
-        self.tag = int.from_bytes(blake2b(self.info.name.encode(), digest_size=8).digest(), "big")
+        self.name_hash = int.from_bytes(blake2b(self.info.name.encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(slots=True)
-class Flight:
-    """A request that is owed its one answer, or a connection that stands."""
+class TrackedRequest:
+    """A request that has not been answered yet, or an open connection."""
 
     request: api.Request
-    cls: api.RequestClass
-    deadline: int
-    sample: list[str] = field(default_factory=list)
-    looks: int = 0  # samples that were full: the first, one of new figures, those that fail but answer
-    warms: bool = True  # may go to a cold backend
-    tried: list[str] = field(default_factory=list)
-    out: bool = False  # an attempt is out
-    ran_on: api.Backend | None = None  # the first backend on which it may have run
-    ran_at: int = 0
-    stands: bool = False
-    load: float = 0.0  # what its connection costs, in microseconds of work a second; 0: not told yet
-
-
-class Lately(dict[str | int, int]):
-    """Who came when, in the order of time, each once and by the latest time."""
-
-    def add(self, who: str | int, at: int) -> None:
-        self.pop(who, None)
-        self[who] = at
-
-    def forget(self, until: float) -> None:
-        """Those who came by then."""
-        for who in list(takewhile(lambda one: self[one] <= until, self)):
-            del self[who]
-
-
-def closeness(known: Known, group: int) -> float:
-    """A number in (0, 1] that every relay finds alike for a backend and a group, and that looks random."""
-    mixed = (known.tag ^ group * _SPREAD) * _SPREAD % _TAGS
-    mixed = (mixed ^ mixed >> 32) * _SPREAD % _TAGS
-    return (mixed + 1) / _TAGS
+    request_class: api.RequestClass
+    deadline_us: int
+    sample: list[str] = field(default_factory=list)  # names of the backends among which it is placed
+    full_samples: int = 0  # samples found full: the first, one with new reports, one of backends that fail but answer
+    may_use_cold: bool = True  # whether it may go to a backend that is still warming up
+    attempted: list[str] = field(default_factory=list)  # names of the backends tried, one for each attempt
+    attempt_pending: bool = False
+    first_run_on: api.Backend | None = None  # the first backend on which the request may have run
+    started_at_us: int = 0  # when it may first have run, or when its connection opened
+    is_open: bool = False
+    load: float = 0.0  # of its connection, in microseconds of work a second; 0: not reported yet
+
+
+class LastSeenTimes(dict[str | int, int]):
+    """Maps each key to the time at which it was last seen, ordered by that time."""
+
+    def record(self, key: str | int, time_us: int) -> None:
+        """Set the key's time, which must not be earlier than any time recorded so far."""
+        self.pop(key, None)
+        self[key] = time_us
+
+    def discard_until(self, time_us: float) -> None:
+        """Remove every key last seen at or before this time."""
+        for key in list(takewhile(lambda key: self[key] <= time_us, self)):
+            del self[key]
+
+
+def rendezvous_hash(backend: BackendState, group: int) -> float:
+    """Hash a backend and a group to a number in (0, 1], evenly spread and the same in every process."""
+    mixed = (backend.name_hash ^ group * _HASH_MULTIPLIER) * _HASH_MULTIPLIER % _HASH_RANGE
+    mixed = (mixed ^ mixed >> 32) * _HASH_MULTIPLIER % _HASH_RANGE
+    return (mixed + 1) / _HASH_RANGE
