--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -133,7 +133,7 @@
         after = town.figures()
         driver.stop()
     change = {key: after[key] - before[key] for key in after}
-    name = f"fixed step {options.baseline} s" if options.baseline else f"order of work, {options.most} at once"
+    name = f"fixed interval {options.baseline} s" if options.baseline else f"maintenance plan, {options.most} at once"
     print(
         f"{name}; {options.balancers} balancers, {options.servers} servers, {clients} clients, load {options.load}"
         f"{', with faults' if options.faults else ''}: {duration_s:.1f} s; "
--- a/tests/test_work_processes.py
+++ b/tests/test_work_processes.py
@@ -22,11 +22,12 @@
 S = timedelta(seconds=1)
 FAST_WARM_UP = {"rules": SETTINGS["rules"] | {"cold_us": 800_000}}
 CLIENTS = 20
-Site = tuple[Stage, MaintenanceDriver]
+RunningFleet = tuple[Stage, MaintenanceDriver]
 
 
 @pytest.fixture
-def site(tmp_path: Path) -> Iterator[Site]:
+def running_fleet(tmp_path: Path) -> Iterator[RunningFleet]:
+    """The processes with all clients connected, and the driver once every balancer takes part."""
     with Stage(tmp_path / "stage", 7, fleet={}, voters=3, servers=6, settings=FAST_WARM_UP, cold_s=0.8) as stage:
         stage.start()
         stage.agree()
@@ -44,8 +45,8 @@
     return str(driver.progress["leader"])
 
 
-def test_all_machines_leave_and_return_and_no_client_is_cut_off(site: Site) -> None:
-    stage, driver = site
+def test_all_machines_leave_and_return_and_no_client_is_cut_off(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     driver.start_plan()
     assert driver.final_counts(60) == {"done": 6}
     figures = town_of(stage).figures()
@@ -55,11 +56,11 @@
     assert status == 200 and json.loads(answer)[0]["done"] == 6
 
 
-@pytest.mark.parametrize("step", ["claimed", "leaving", "out", "cold"])
-def test_the_leader_is_killed(site: Site, step: str) -> None:
-    stage, driver = site
+@pytest.mark.parametrize("machine_stage", ["claimed", "leaving", "out", "cold"])
+def test_the_leader_is_killed(running_fleet: RunningFleet, machine_stage: str) -> None:
+    stage, driver = running_fleet
     driver.start_plan(list(town_of(stage).hosts)[:3])
-    driver.wait_for_stage(step)
+    driver.wait_for_stage(machine_stage)
     killed = leader(driver)
     stage.programs[killed].kill()
     driver.wait(lambda: leader(driver) != killed, 20)
@@ -67,11 +68,11 @@
     assert driver.final_counts() == {"done": 3}
 
 
-@pytest.mark.parametrize("step", ["leaving", "out"])
-def test_a_leader_that_was_paused_does_not_lead_when_it_wakes(site: Site, step: str) -> None:
-    stage, driver = site
+@pytest.mark.parametrize("machine_stage", ["leaving", "out"])
+def test_a_leader_that_was_paused_does_not_lead_when_it_wakes(running_fleet: RunningFleet, machine_stage: str) -> None:
+    stage, driver = running_fleet
     driver.start_plan(list(town_of(stage).hosts)[:2])
-    driver.wait_for_stage(step)
+    driver.wait_for_stage(machine_stage)
     paused = leader(driver)
     stage.programs[paused].pause()
     driver.wait(lambda: leader(driver) != paused, 20)
@@ -79,8 +80,8 @@
     assert driver.final_counts() == {"done": 2}
 
 
-def test_a_minority_with_the_leader_is_cut_off_while_a_machine_leaves(site: Site) -> None:
-    stage, driver = site
+def test_a_minority_with_the_leader_is_cut_off_while_a_machine_leaves(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     driver.start_plan(list(town_of(stage).hosts)[:2])
     driver.wait_for_stage("leaving")
     cut = leader(driver)
@@ -91,8 +92,8 @@
     assert driver.final_counts() == {"done": 2}
 
 
-def test_without_a_majority_no_machine_leaves_and_clients_are_served(site: Site) -> None:
-    stage, driver = site
+def test_without_a_majority_no_machine_leaves_and_clients_are_served(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     driver.start_plan()
     driver.wait_for_stage("leaving")
     for name in stage.voters[:2]:
@@ -109,9 +110,9 @@
 
 
 @pytest.mark.parametrize("fault", ["killed", "paused", "cut off"])
-def test_a_balancer_that_never_confirms(site: Site, fault: str) -> None:
+def test_a_balancer_that_never_confirms(running_fleet: RunningFleet, fault: str) -> None:
     """Its lease expires, and by its own clock it sends nothing to the machine, also when it wakes or serves cut off."""
-    stage, driver = site
+    stage, driver = running_fleet
     driver.start_plan(list(town_of(stage).hosts)[:2])
     driver.wait_for_stage("claimed")
     driver.wait_for_stage("leaving")
@@ -130,8 +131,8 @@
     assert driver.final_counts() == {"done": 2}
 
 
-def test_a_machine_that_fails_counts_as_missing(site: Site) -> None:
-    stage, driver = site
+def test_a_machine_that_fails_counts_as_missing(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     town = town_of(stage)
     names = list(town.hosts)
     driver.start_plan(names[:3], limit_s=60)
@@ -146,8 +147,8 @@
     assert driver.final_counts() == {"done": 3}
 
 
-def test_a_suspended_machine_is_skipped_and_counts_as_missing(site: Site) -> None:
-    stage, driver = site
+def test_a_suspended_machine_is_skipped_and_counts_as_missing(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     names = list(town_of(stage).hosts)
     assert stage.call("b005", "PUT", f"/v1/image-servers/{names[0]}/suspend")[0] == 200
     began = stage.record.now()
@@ -159,11 +160,11 @@
     assert driver.final_counts() == {"done": 2}
 
 
-@pytest.mark.parametrize("step", ["claimed", "leaving", "out", "cold"])
-def test_an_aborted_plan_never_becomes_active_again(site: Site, step: str) -> None:
-    stage, driver = site
+@pytest.mark.parametrize("machine_stage", ["claimed", "leaving", "out", "cold"])
+def test_an_aborted_plan_never_becomes_active_again(running_fleet: RunningFleet, machine_stage: str) -> None:
+    stage, driver = running_fleet
     driver.start_plan()
-    driver.wait_for_stage(step)
+    driver.wait_for_stage(machine_stage)
     driver.call_until_accepted("/abort")
     final_counts = driver.final_counts()
     assert set(final_counts) <= {"done", "dropped"} and final_counts["dropped"] >= 4
@@ -175,8 +176,8 @@
     assert len(driver.reached) == reached
 
 
-def test_refused_plans_and_calls_name_the_reason(site: Site) -> None:
-    stage, driver = site
+def test_refused_plans_and_calls_name_the_reason(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     names = list(town_of(stage).hosts)
     for body, reason in (
         (driver.plan_file(names, least_capacity=0.9), f"{names[0]} there is 83% left, and 90% must stay"),
@@ -198,8 +199,8 @@
     assert driver.call_once("PUT", "/done/stranger")[0] == 409 and driver.call_once("GET", "/plan")[0] == 405
 
 
-def test_all_voters_are_restarted_while_the_server_list_is_unavailable(site: Site) -> None:
-    stage, driver = site
+def test_all_voters_are_restarted_while_the_server_list_is_unavailable(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     driver.start_plan(list(town_of(stage).hosts)[:3])
     driver.wait_for_stage("out")
     town_of(stage).list_down = True
@@ -214,8 +215,10 @@
     ("command", "reason"),
     [(["false"], "its command ended with 1"), (["sleep", "60"], "took over"), (["/no/such/file"], "its command")],
 )
-def test_a_work_command_that_fails_or_hangs_holds_its_machine(site: Site, command: list[str], reason: str) -> None:
-    stage, driver = site
+def test_a_work_command_that_fails_or_hangs_holds_its_machine(
+    running_fleet: RunningFleet, command: list[str], reason: str
+) -> None:
+    stage, driver = running_fleet
     names = list(town_of(stage).hosts)
     driver.never_done = set(names)
     driver.start_plan(names[:2], command=command, limit_s=5)
@@ -237,22 +240,22 @@
     del program.config["work"]
 
 
-def test_no_plan_starts_while_a_member_does_not_take_part(site: Site) -> None:
-    stage, driver = site
-    two = list(town_of(stage).hosts)[:2]
+def test_no_plan_starts_while_a_member_does_not_take_part(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
+    machines = list(town_of(stage).hosts)[:2]
     remove_from_maintenance(stage, "b006")
     driver.call_until_accepted("/forget/b006")
     stage.programs["b006"].start()
     driver.wait(lambda: "b006" not in driver.progress["roster"], 10)
     stage.agree()
-    status, answer = driver.call_once("PUT", "/start", driver.plan_file(two))
+    status, answer = driver.call_once("PUT", "/start", driver.plan_file(machines))
     assert status == 409 and "bystanders: b006" in answer
-    driver.start_plan(two, bystanders=["b006"], limit_s=60)
+    driver.start_plan(machines, bystanders=["b006"], limit_s=60)
     assert driver.final_counts() == {"done": 2}
 
 
-def test_no_machine_leaves_after_a_member_that_does_not_take_part_joins(site: Site) -> None:
-    stage, driver = site
+def test_no_machine_leaves_after_a_member_that_does_not_take_part_joins(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     remove_from_maintenance(stage, "b006")
     driver.call_until_accepted("/forget/b006")
     stage.agree()
@@ -283,8 +286,8 @@
     return all(pid != before[name] for name, pid in pids(stage).items())
 
 
-def test_balancers_are_restarted_one_by_one_and_leadership_is_transferred(site: Site) -> None:
-    stage, driver = site
+def test_balancers_are_restarted_one_by_one_and_leadership_is_transferred(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     first = leader(driver)
     before = start_rolling_restart(stage, driver)
     assert driver.final_counts(120) == {"done": 7} and all_restarted(stage, before)
@@ -294,11 +297,11 @@
     assert (figures["cuts"], figures["failed"], figures["refused"]) == (0, 0, 0)
 
 
-@pytest.mark.parametrize("step", ["leaving", "out"])
-def test_the_leader_is_killed_while_a_balancer_is_restarted(site: Site, step: str) -> None:
-    stage, driver = site
+@pytest.mark.parametrize("machine_stage", ["leaving", "out"])
+def test_the_leader_is_killed_while_a_balancer_is_restarted(running_fleet: RunningFleet, machine_stage: str) -> None:
+    stage, driver = running_fleet
     before = start_rolling_restart(stage, driver)
-    driver.wait_for_stage(step)
+    driver.wait_for_stage(machine_stage)
     killed = leader(driver)
     stage.programs[killed].kill()
     driver.wait(lambda: leader(driver) != killed, 20)
@@ -306,8 +309,8 @@
     assert driver.final_counts(120) == {"done": 7} and all_restarted(stage, before)
 
 
-def test_a_balancer_that_is_paused_in_its_turn_is_not_out_before_it_confirms(site: Site) -> None:
-    stage, driver = site
+def test_a_balancer_that_is_paused_in_its_turn_is_not_out_before_it_confirms(running_fleet: RunningFleet) -> None:
+    stage, driver = running_fleet
     start_rolling_restart(stage, driver)
     paused = driver.wait_for_stage("claimed").removeprefix("@")
     stage.programs[paused].pause()
@@ -318,8 +321,8 @@
     assert driver.final_counts(120) == {"done": 7}
 
 
-def test_the_commands(site: Site, tmp_path: Path) -> None:
-    stage, driver = site
+def test_the_command_line(running_fleet: RunningFleet, tmp_path: Path) -> None:
+    stage, driver = running_fleet
     endpoint = "{}:{}".format(*stage.address("b006", 0, MANAGED))
     path = tmp_path / "plan.toml"
     path.write_bytes(driver.plan_file(list(town_of(stage).hosts)[:2]))
