--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -150,16 +150,16 @@
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    balancers: int = 1
-    zone: str = ""
-    list_on_request: bool = False
-    list_weights: bool = True
+    balancers: int = 1  # that share the backends
+    zone: str = ""  # of this balancer
+    list_on_request: bool = False  # changes of the list come only after a Subscribe
+    list_weights: bool = True  # the weights in the list are the backends' relative sizes
     reports_load: bool = True
     may_probe: bool = True
     may_cancel: bool = True
-    groups: bool = False
+    groups: bool = False  # connections of one group share work on a backend
     pass_through: bool = False
-    try_limit: int = 3
+    try_limit: int = 3  # attempts for one request
     max_retry_after_us: int = 0
     over_share_worth: float = 1.0
     counted_by_work: bool = False
@@ -170,7 +170,7 @@
     cold_us: int = 0
     fall_multiple: float = 1.0
     fall_us: int = 0
-    drain_grace_us: int = 0
+    drain_grace_us: int = 0  # before the connections of a draining backend are moved
     must_ask_in_us: int = 10_000_000
 
     def __post_init__(self) -> None:
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -444,7 +444,10 @@
         return len(self.cold_attempts_us) + self.cold_rounding < budget / self.settings.balancers
 
     def _warmth(self, backend: BackendState) -> float:
-        """The part of its full capacity that a backend surely has by now; 1 once its warm-up is over."""
+        """The part of its full capacity that a backend surely has by now; 1 once its warm-up is over.
+
+        The colder a backend is, the more of its capacity each connection fills.
+        """
         started_us = backend.info.started_us
         settings = self.settings
         if started_us is None or self.now_us - started_us >= settings.cold_us:
@@ -490,7 +493,7 @@
     def _sample_backends(self, tracked: TrackedRequest) -> list[str]:
         """Choose a sample: a group's own backends at first, then any, and at last those that fail but still answer."""
         self._refresh_weights()
-        if tracked.full_samples == 2:
+        if tracked.full_samples == 2:  # also full with new reports
             remaining = [
                 name
                 for name in self.weights
