--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -21,7 +21,7 @@
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions
-from bramblestile.trace.recorder import Plan, Recorder
+from bramblestile.trace.recorder import Recorder, RecorderConfig
 from bramblestile.tracing import Tracer, Tracing
 from tests.load import SETTINGS, Hosts, Program, load, running
 from vanegw import interface as api
@@ -56,7 +56,7 @@
     settings = settings_form.parse_settings(SETTINGS)[0]
     with tempfile.TemporaryDirectory() as folder:
         tracing, counters = Tracing(), Counters()
-        recorder = Recorder(Plan(Path(folder), "n1", "-"), counters)
+        recorder = Recorder(RecorderConfig(Path(folder), "n1", "-"), counters)
         decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
         asked: list[str] = []
         decisions.on_probe = asked.append
--- a/benchmarks/trace_find.py
+++ b/benchmarks/trace_find.py
@@ -20,7 +20,7 @@
 import click
 from msgspec.structs import replace
 
-from bramblestile.trace import Reader, Wanted, Writer
+from bramblestile.trace import Query, Reader, Writer
 from bramblestile.trace.records import Record, Request, to_json
 from tests.fleet import Fleet
 
@@ -65,7 +65,7 @@
         squeezed = 0
         asked: list[str] = []
         with open(path, "wb") as file:
-            writer = Writer(file, {}, beside=4)
+            writer = Writer(file, {}, threads=4)
             for n, record in enumerate(mix(records)):
                 writer.add(record)
                 if n < MILLION:  # the rest is like it
@@ -89,7 +89,7 @@
         nothing = timed("--version")[0]
         window, out = timed("trace", "export", path, "--from", middle, "--to", middle + 10_000_000)
         with Reader(path) as reader:
-            expected = sum(1 for _ in reader.read(Wanted(middle, middle + 10_000_000)))
+            expected = sum(1 for _ in reader.read(Query(middle, middle + 10_000_000)))
         assert out.count(b"\n") == expected > 0
         click.echo(
             f"a window of 10 s, {expected} records: {window * 1000:.0f} ms as a whole process "
--- a/benchmarks/trace_size.py
+++ b/benchmarks/trace_size.py
@@ -18,8 +18,8 @@
 import click
 import msgspec
 
-from bramblestile.trace import Reader, Wanted, Writer, frames
-from bramblestile.trace.records import Record, from_json, kind_of, to_json
+from bramblestile.trace import Query, Reader, Writer, frames
+from bramblestile.trace.records import Record, from_json, record_kind, to_json
 from tests.fleet import Fleet
 
 SCRIPT = ((20, "drain", "3"), (30, "die", "5"), (60, "back", "3"), (70, "back", "5"))
@@ -28,7 +28,7 @@
 
 def columns(rows: list[Record], path: Path) -> None:
     with open(path, "wb") as file:
-        writer = Writer(file, {}, beside=4)
+        writer = Writer(file, {}, threads=4)
         writer.extend(rows)
         writer.flush()
         writer.close()
@@ -36,14 +36,14 @@
 
 def rows_(rows: list[Record], path: Path) -> None:
     with open(path, "wb") as file:
-        writer = Writer(file, {}, level=1, block=4096, layout=frames.ROWS)
+        writer = Writer(file, {}, level=1, block_records=4096, layout=frames.ROWS)
         writer.extend(rows)
         writer.flush()
 
 
 def our_window(path: Path, since: int) -> int:
     with Reader(path) as reader:
-        return sum(1 for _ in reader.read(Wanted(since, since + WINDOW_US)))
+        return sum(1 for _ in reader.read(Query(since, since + WINDOW_US)))
 
 
 def json_lines(rows: list[Record], path: Path) -> None:
@@ -71,7 +71,7 @@
         channels: dict[str, int] = {}
         encode = msgspec.msgpack.Encoder().encode
         for row in rows:
-            kind = kind_of(row)
+            kind = record_kind(row)
             if kind not in channels:
                 schema = writer.register_schema(kind, "jsonschema", b"{}")
                 channels[kind] = writer.register_channel(kind, "msgpack", schema)
@@ -93,7 +93,7 @@
 
     kinds: dict[str, list[Any]] = {}
     for n, row in enumerate(rows):
-        kinds.setdefault(kind_of(row), []).append(msgspec.to_builtins(row) | {"n": n})
+        kinds.setdefault(record_kind(row), []).append(msgspec.to_builtins(row) | {"n": n})
     return {kind: pa.Table.from_pylist(of_kind) for kind, of_kind in kinds.items()}
 
 
@@ -140,7 +140,7 @@
     encode = msgspec.msgpack.Encoder().encode
     base.executemany(
         "insert into r values (?,?,?,?,?)",
-        ((r.at, kind_of(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in rows),
+        ((r.at, record_kind(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in rows),
     )
     base.execute("create index a on r (at)")
     base.execute("create index i on r (id)")
--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -1,4 +1,4 @@
-"""``bramblestile trace``: what is done with trace files. Each command streams: memory does not grow with the file."""
+"""``bramblestile trace``: commands for trace files. They stream, so memory does not grow with the size of a file."""
 
 from __future__ import annotations
 
@@ -12,48 +12,54 @@
 import click
 
 from bramblestile.cli.common import FILE, OUT, TIME, Failed, one_line, progress, resolve, shown
-from bramblestile.trace import Reader, TraceError, Wanted, Writer
-from bramblestile.trace.files import BESIDE, whole_file
+from bramblestile.trace import Query, Reader, TraceError, Writer
+from bramblestile.trace.files import COMPRESSION_THREADS, atomic_file
 from bramblestile.trace.records import Record, from_json, to_json
 
-LONGEST_LINE = 1 << 20  # bytes of a line of JSON that is imported
+MAX_LINE_BYTES = 1 << 20  # of one JSON line to import
+MAX_DAMAGE_SHOWN = 10  # damaged places per file
+LINES_PER_WRITE = 1000  # of exported JSON
 force = click.option("--force", is_flag=True, help="Overwrite OUT.")
 drop_unknown = click.option(
-    "--drop-unknown", is_flag=True, help="Copy even where a newer program wrote kinds or fields that would be lost."
+    "--drop-unknown", is_flag=True, help="Copy even if kinds or fields written by a newer program are lost."
 )
 
 
 @click.group("trace")
 def group() -> None:
-    """Read, cut, merge, hide names in and sum up trace files.
+    """Read, cut, merge, anonymise and sum up trace files.
 
     A trace holds every request and decision of a balancer that ran with a [trace] table in its configuration.
-    Damage in a file costs the damaged blocks; it is told on standard error, and the exit is 0.
+    Damage in a file costs only the damaged blocks; it is reported on standard error, and the exit code is 0.
     """
 
 
-def _tell(reader: Reader) -> None:
-    """What was wrong with a file that has been read, on standard error."""
-    for damage in reader.damage[:10]:
+def _report_damage(reader: Reader) -> None:
+    """Report on standard error what was wrong with a file that has been read."""
+    for damage in reader.damage[:MAX_DAMAGE_SHOWN]:
         click.echo(f"bramblestile: {reader.path}: {damage}", err=True)
-    if reader.damaged > 10:
-        click.echo(f"bramblestile: {reader.path}: and {reader.damaged - 10} damaged places more", err=True)
-    for what, count in reader.unknown.counts.items():
+    if reader.damage_count > MAX_DAMAGE_SHOWN:
         click.echo(
-            f"bramblestile: {reader.path}: {count} of {what}, which this program does not know, passed over", err=True
+            f"bramblestile: {reader.path}: {reader.damage_count - MAX_DAMAGE_SHOWN} more damaged places", err=True
+        )
+    for name, count in reader.unknown.counts.items():
+        click.echo(
+            f"bramblestile: {reader.path}: skipped {count} of {name}, which this program does not know", err=True
         )
 
 
-class _OneLine(click.Command):
-    """A command whose errors come in one line, whatever raised them."""
+class _OneLineErrorCommand(click.Command):
+    """A command that reports any expected error in one line."""
 
     def invoke(self, ctx: click.Context) -> Any:
+        """Run the command."""
         with one_line():
             return super().invoke(ctx)
 
 
 def command(name: str) -> Callable[[Callable[..., None]], click.Command]:
-    return group.command(name, cls=_OneLine)
+    """Return a decorator that adds a command to the group."""
+    return group.command(name, cls=_OneLineErrorCommand)
 
 
 def _open(stack: ExitStack, path: Path) -> Reader:
@@ -63,116 +69,119 @@
         raise TraceError(f"{path}: {error}") from None
 
 
-def _wanted(
+def _query(
     reader: Reader, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None
-) -> Wanted:
+) -> Query:
     def first() -> int:
-        found = min((place.frame.first for place in reader.places()), default=0)
-        reader.forget()
-        return found
+        earliest = min((location.frame.first_us for location in reader.block_locations()), default=0)
+        reader.clear_findings()
+        return earliest
 
-    return Wanted(resolve(since, first), resolve(until, first), id_, host, cls)
+    return Query(resolve(since, first), resolve(until, first), id_, host, cls)
 
 
-def _filters(function: Callable[..., None]) -> Callable[..., None]:
+def _query_options(function: Callable[..., None]) -> Callable[..., None]:
     for option in (
         click.option("--class", "cls", metavar="CLASS", help="Requests of this class, with all their records."),
-        click.option("--host", metavar="ID", help="Records that tell of this host."),
+        click.option("--host", metavar="ID", help="Records that mention this host."),
         click.option("--request", "id_", metavar="ID", help="Records of this request."),
         click.option("--to", "until", type=TIME, help="Before this time."),
         click.option(
             "--from",
             "since",
             type=TIME,
-            help="From this time on: 2026-12-01T10:00:00Z, microseconds since 1970, or +10s.",
+            help="From this time on: 2026-12-01T10:00:00Z, microseconds since 1970, or +10s after the first record.",
         ),
     ):
         function = option(function)
     return function
 
 
-def _write(rows: Iterable[Record], out: Path, force_: bool, description: dict[str, Any]) -> int:
-    """A whole file of these records, or none."""
-    with whole_file(out, force_) as file:
-        writer = Writer(file, description, beside=BESIDE)
+def _write_trace(records: Iterable[Record], out: Path, overwrite: bool, description: dict[str, Any]) -> int:
+    """Write a complete file of these records, or none; return their number."""
+    with atomic_file(out, overwrite) as file:
+        writer = Writer(file, description, threads=COMPRESSION_THREADS)
         try:
-            writer.extend(rows)
+            writer.extend(records)
             writer.flush()
         finally:
             writer.close()
-        return writer.records
+        return writer.record_count
+
 
+def _check_unknown(readers: Iterable[Reader], drop_unknown: bool) -> None:
+    """Raise TraceError if a copy would lose what a newer program wrote.
 
-def _check_known(readers: Iterable[Reader], dropped: bool) -> None:
-    """Called when all has been read and before the copy gets its name."""
+    Called after everything was read and before the copy gets its name.
+    """
     for reader in readers:
-        if reader.unknown.counts and not dropped:
+        if reader.unknown.counts and not drop_unknown:
             raise TraceError(
                 f"{reader.path}: holds {', '.join(sorted(reader.unknown.counts))}, which a copy by this "
                 "program would lose; --drop-unknown copies the rest"
             )
 
 
-def _guarded(rows: Iterable[Record], readers: Iterable[Reader], dropped: bool) -> Iterator[Record]:
-    yield from rows
-    _check_known(readers, dropped)
+def _with_unknown_check(records: Iterable[Record], readers: Iterable[Reader], drop_unknown: bool) -> Iterator[Record]:
+    yield from records
+    _check_unknown(readers, drop_unknown)
 
 
-def _copied(description: dict[str, Any], **more: Any) -> dict[str, Any]:
-    return {**{k: v for k, v in description.items() if k != "flush_us"}, **more}
+def _derived_description(description: dict[str, Any], **origin: Any) -> dict[str, Any]:
+    return {**{key: value for key, value in description.items() if key != "flush_us"}, **origin}
 
 
 @command("info")
 @click.argument("file", type=FILE)
 def info(file: Path) -> None:
-    """Say what FILE is: from when to when, how many records, how large, what is damaged.
+    """Describe FILE: time range, number of records, size and damage.
 
-    Only the blocks' frames are read: it takes as long for a large file as for a small one.
+    Only the frames of the blocks are read: it takes as long for a large file as for a small one.
     """
     with ExitStack() as stack:
         reader = _open(stack, file)
-        blocks = records = raw = filters = 0
+        blocks = records = raw_bytes = filter_bytes = 0
         first: int | None = None
         last = 0
-        expected, missing = 0, 0
-        for place in reader.places():
-            frame = place.frame
-            blocks, records, raw, filters = (
+        next_number, missing_blocks = 0, 0
+        for location in reader.block_locations():
+            frame = location.frame
+            blocks, records, raw_bytes, filter_bytes = (
                 blocks + 1,
-                records + frame.records,
-                raw + frame.raw,
-                filters + frame.filter,
+                records + frame.record_count,
+                raw_bytes + frame.raw_bytes,
+                filter_bytes + frame.filter_bytes,
             )
-            first = frame.first if first is None else min(first, frame.first)
-            last = max(last, frame.last)
-            missing += max(0, frame.number - expected)
-            expected = frame.number + 1
+            first = frame.first_us if first is None else min(first, frame.first_us)
+            last = max(last, frame.last_us)
+            missing_blocks += max(0, frame.number - next_number)
+            next_number = frame.number + 1
         for name, value in reader.description.items():
             click.echo(f"{name}: {value}")
         click.echo(
             f"records: {records} in {blocks} blocks, {reader.size} bytes"
-            + (f", {reader.size / records:.2f} a record" if records else "")
+            + (f", {reader.size / records:.2f} per record" if records else "")
         )
         if first is not None:
             click.echo(f"from {shown(first)} ({first})")
             click.echo(f"to   {shown(last)} ({last}), {(last - first) / 1e6:.3f} s")
-            click.echo(f"unpacked: {raw} bytes; index: {filters} bytes")
+            click.echo(f"uncompressed: {raw_bytes} bytes; index: {filter_bytes} bytes")
         click.echo(
-            f"damaged: {reader.damaged} places, {missing} blocks known to be missing"
-            if reader.damaged or missing
-            else "damaged: nothing (frames; `recover` reads all)"
+            f"damaged: {reader.damage_count} places, {missing_blocks} blocks known to be missing"
+            if reader.damage_count or missing_blocks
+            else "damaged: nothing (only frames were checked; `recover` checks everything)"
         )
-        _tell(reader)
+        _report_damage(reader)
 
 
-def _lines(source: BinaryIO, name: str) -> Iterator[Record]:
+def _read_json_lines(source: BinaryIO, name: str) -> Iterator[Record]:
     import msgspec
 
     number = 0
-    while line := source.readline(LONGEST_LINE + 1):
+    while line := source.readline(MAX_LINE_BYTES + 1):
         number += 1
-        if len(line) > LONGEST_LINE:
-            raise TraceError(f"{name}: line {number}: longer than {LONGEST_LINE} bytes")
+        if len(line) > MAX_LINE_BYTES:
+            raise TraceError(f"{name}: line {number}: longer than {MAX_LINE_BYTES} bytes")
         if line.strip():
             try:
                 yield from_json(line)
@@ -185,36 +194,36 @@
 @click.argument("out", type=OUT)
 @force
 def import_(source: Path, out: Path, force: bool) -> None:
-    """Make the trace OUT of the lines of JSON in IN.jsonl (- for standard input), which must be `export`'s."""
+    """Convert the JSON lines in IN.jsonl (- for standard input), written by `export`, to the trace OUT."""
     with ExitStack() as stack:
         file: BinaryIO = sys.stdin.buffer if str(source) == "-" else stack.enter_context(open(source, "rb"))
         name = "standard input" if str(source) == "-" else str(source)
-        count = _write(progress(_lines(file, name), "import"), out, force, {"imported": True})
+        count = _write_trace(progress(_read_json_lines(file, name), "import"), out, force, {"imported": True})
     click.echo(f"{count} records", err=True)
 
 
-def _put_lines(rows: Iterable[Record], out: IO[bytes]) -> None:
-    held: list[bytes] = []
-    for row in rows:
-        held.append(to_json(row))
-        if len(held) >= 1000:
-            out.write(b"\n".join(held) + b"\n")
-            held.clear()
-    if held:
-        out.write(b"\n".join(held) + b"\n")
+def _write_json_lines(records: Iterable[Record], out: IO[bytes]) -> None:
+    lines: list[bytes] = []
+    for record in records:
+        lines.append(to_json(record))
+        if len(lines) >= LINES_PER_WRITE:
+            out.write(b"\n".join(lines) + b"\n")
+            lines.clear()
+    if lines:
+        out.write(b"\n".join(lines) + b"\n")
     out.flush()
 
 
 @command("export")
 @click.argument("file", type=FILE)
-@_filters
+@_query_options
 @click.option(
     "-o",
     "--output",
     "out",
     type=click.Path(path_type=Path, allow_dash=True),
     default="-",
-    help="A file for the lines; - is standard output.",
+    help="The file to write; - is standard output.",
 )
 @force
 def export(
@@ -227,20 +236,20 @@
     out: Path,
     force: bool,
 ) -> None:
-    """Print FILE's records as lines of JSON, all or those that the options name."""
+    """Print the records of FILE as JSON lines, all or those that the options select."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        rows = progress(reader.read(_wanted(reader, since, until, id_, host, cls)), "export")
+        records = progress(reader.read(_query(reader, since, until, id_, host, cls)), "export")
         if str(out) == "-":
-            _put_lines(rows, sys.stdout.buffer)
+            _write_json_lines(records, sys.stdout.buffer)
         else:
-            _put_lines(rows, stack.enter_context(whole_file(out, force)))
-        _tell(reader)
+            _write_json_lines(records, stack.enter_context(atomic_file(out, force)))
+        _report_damage(reader)
 
 
 @command("cut")
 @click.argument("file", type=FILE)
-@_filters
+@_query_options
 @click.option("-o", "--output", "out", type=OUT, required=True)
 @force
 @drop_unknown
@@ -255,13 +264,13 @@
     force: bool,
     drop_unknown: bool,
 ) -> None:
-    """Copy the part of FILE that the options name to a trace of its own."""
+    """Copy the part of FILE that the options select to a new trace."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        wanted = _wanted(reader, since, until, id_, host, cls)
-        rows = _guarded(progress(reader.read(wanted), "cut"), [reader], drop_unknown)
-        count = _write(rows, out, force, _copied(reader.description, cut_from=file.name))
-        _tell(reader)
+        query = _query(reader, since, until, id_, host, cls)
+        records = _with_unknown_check(progress(reader.read(query), "cut"), [reader], drop_unknown)
+        count = _write_trace(records, out, force, _derived_description(reader.description, cut_from=file.name))
+        _report_damage(reader)
         click.echo(f"{count} records", err=True)
 
 
@@ -271,15 +280,15 @@
 @force
 @drop_unknown
 def recover(file: Path, out: Path, force: bool, drop_unknown: bool) -> None:
-    """Copy all that is sound in FILE to OUT and say what was lost. Small blocks become large ones."""
+    """Copy all undamaged blocks of FILE to OUT and report what was lost. Small blocks are joined to large ones."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        rows = _guarded(progress(reader.read(), "recover"), [reader], drop_unknown)
-        count = _write(rows, out, force, _copied(reader.description, recovered_from=file.name))
-        _tell(reader)
-        lost = sum(d.records for d in reader.damage)
+        records = _with_unknown_check(progress(reader.read(), "recover"), [reader], drop_unknown)
+        count = _write_trace(records, out, force, _derived_description(reader.description, recovered_from=file.name))
+        _report_damage(reader)
+        lost = sum(damage.record_count for damage in reader.damage)
         click.echo(
-            f"{count} records recovered; {reader.damaged} damaged places, with {lost} records known to be lost",
+            f"{count} records recovered; {reader.damage_count} damaged places, with {lost} records known to be lost",
             err=True,
         )
 
@@ -287,104 +296,116 @@
 @command("merge")
 @click.argument("files", type=FILE, nargs=-1, required=True)
 @click.option("-o", "--output", "out", type=OUT, required=True)
-@click.option("--as-is", is_flag=True, help="Take all clocks for right.")
+@click.option("--as-is", is_flag=True, help="Do not correct the clocks.")
 @force
 @drop_unknown
 def merge(files: tuple[Path, ...], out: Path, as_is: bool, force: bool, drop_unknown: bool) -> None:
     """Merge FILES into one trace, in the order of time, on the clock of the first.
 
-    How far the other clocks are off is estimated from what the traces both saw, and told with its uncertainty on
-    standard error and in OUT (`info` shows it). Each record keeps its own time (at) beside the correction (adj).
+    The offsets of the other clocks are estimated from events that the traces share, and reported with their
+    uncertainty on standard error and in OUT (`info` shows them). Each record keeps its own time (at) beside the
+    correction (adj).
     """
-    from bramblestile.trace.clocks import SAME
-    from bramblestile.trace.merging import Part, align, sweep
+    from bramblestile.trace.clocks import REFERENCE
+    from bramblestile.trace.merging import MergeInput, align, merge_records
 
     with ExitStack() as stack:
         readers = [_open(stack, file) for file in files]
         if as_is:
-            parts = [Part(reader, reader.path.name, (), SAME, reader.path.name) for reader in readers]
+            inputs = [MergeInput(reader, reader.path.name, (), REFERENCE, reader.path.name) for reader in readers]
         else:
-            parts = align(readers, progress)
-        for part in parts:
-            click.echo(_clock_line(part.told(), as_is), err=True)
-        rows = _guarded(progress(sweep(parts), "merge"), readers, drop_unknown)
-        count = _write(rows, out, force, {"merged": [part.told() for part in parts]})
+            inputs = align(readers, progress)
+        for source in inputs:
+            click.echo(_clock_line(source.describe(), as_is), err=True)
+        records = _with_unknown_check(progress(merge_records(inputs), "merge"), readers, drop_unknown)
+        count = _write_trace(records, out, force, {"merged": [source.describe() for source in inputs]})
         for reader in readers:
-            _tell(reader)
+            _report_damage(reader)
         click.echo(f"{count} records", err=True)
 
 
-def _clock_line(told: dict[str, Any], as_is: bool) -> str:
-    name = told["file"]
+def _clock_line(clock: dict[str, Any], as_is: bool) -> str:
+    name = clock["file"]
     if as_is:
-        return f"{name}: taken as it is"
-    if told["by"] == "same clock":
-        return f"{name}: the clock that the others are brought to"
-    if told["within_us"] is None:
-        return f"{name}: NOT ALIGNED, taken as it is: {told['note']}"
-    links = ", ".join(f"{count} {kind}s" for kind, count in told["links"].items())
-    note = f"; {told['note']}" if told["note"] else ""
+        return f"{name}: clock not corrected"
+    if clock["by"] == "same clock":
+        return f"{name}: the reference clock"
+    if clock["within_us"] is None:
+        return f"{name}: NOT ALIGNED, clock not corrected: {clock['note']}"
+    links = ", ".join(f"{count} {kind}s" for kind, count in clock["links"].items())
+    note = f"; {clock['note']}" if clock["note"] else ""
     return (
-        f"{name}: {told['offset_us'] / 1000:+.3f} ms against {told['against']}, within "
-        f"{told['within_us'] / 1000:.3f} ms (95%), drift {told['drift_ppm']:+.1f} ppm; by {links}{note}"
+        f"{name}: {clock['offset_us'] / 1000:+.3f} ms against {clock['against']}, +/- "
+        f"{clock['within_us'] / 1000:.3f} ms (95%), drift {clock['drift_ppm']:+.1f} ppm; by {links}{note}"
     )
 
 
 @command("anonymise")
 @click.argument("file", type=FILE)
 @click.option("-o", "--output", "out", type=OUT, required=True)
-@click.option("--key-file", type=FILE, required=True, help="16 to 64 random bytes; the same key, the same pseudonyms.")
-@click.option("--hosts", is_flag=True, help="Hide the names of the hosts too.")
+@click.option(
+    "--key-file", type=FILE, required=True, help="16 to 64 random bytes; the same key gives the same pseudonyms."
+)
+@click.option("--hosts", is_flag=True, help="Hide the names of hosts too.")
 @force
 def anonymise(file: Path, out: Path, key_file: Path, hosts: bool, force: bool) -> None:
-    """Copy FILE with museums, clients, keys and groups under pseudonyms, and without any free text.
+    """Copy FILE with pseudonyms for museums, clients, keys and groups, and without free text.
 
-    Before OUT gets its name, every text that was kept is searched for every identity that was hidden. What a newer
-    program wrote and this one does not know is left out: nobody can tell what it holds.
+    Before OUT gets its name, every text that was kept is searched for every identity that was hidden. Kinds and fields
+    written by a newer program are left out, because their content is unknown.
     """
-    from bramblestile.trace.pseudonyms import Pseudonyms
+    from bramblestile.trace.pseudonyms import MAX_KEY_BYTES, Pseudonymiser
 
     with open(key_file, "rb") as key_source:
-        key = key_source.read(65)
+        key = key_source.read(MAX_KEY_BYTES + 1)
     with ExitStack() as stack:
         reader = _open(stack, file)
-        pseudonyms = Pseudonyms(key, hosts)
+        pseudonymiser = Pseudonymiser(key, hosts)
 
         def checked() -> Iterator[Record]:
             for record in progress(reader.read(), "anonymise"):
-                yield pseudonyms.record(record)
-            told = str(reader.description.get("instance", "")), str(reader.description.get("hall", ""))
-            pseudonyms.kept.update(told)
-            check = pseudonyms.leak_check()
-            with Reader(file) as again:
-                for record in progress(again.read(), "checking"):
+                yield pseudonymiser.apply(record)
+            names = str(reader.description.get("instance", "")), str(reader.description.get("hall", ""))
+            pseudonymiser.kept_texts.update(names)
+            check = pseudonymiser.leak_check()
+            with Reader(file) as reread:
+                for record in progress(reread.read(), "checking"):
                     check(record)
 
-        kept: dict[str, Any] = {
-            k: reader.description[k] for k in ("instance", "hall", "program", "opened_us") if k in reader.description
+        description: dict[str, Any] = {
+            name: reader.description[name]
+            for name in ("instance", "hall", "program", "opened_us")
+            if name in reader.description
         }
-        count = _write(checked(), out, force, {**kept, "pseudonyms": pseudonyms.key_name, "hosts_hidden": hosts})
-        _tell(reader)
+        count = _write_trace(
+            checked(), out, force, {**description, "pseudonyms": pseudonymiser.key_fingerprint, "hosts_hidden": hosts}
+        )
+        _report_damage(reader)
         click.echo(f"{count} records, no identity left in any text", err=True)
 
 
-def _summary(reader: Reader, rows: Iterable[Record], window_us: int = 0) -> Any:
+def _summary(reader: Reader, records: Iterable[Record], window_us: int = 0) -> Any:
     from bramblestile.trace.summary import Summary
 
-    made = Summary(window_us)
+    summary = Summary(window_us)
     name, hall = reader.description.get("instance"), reader.description.get("hall")
     if isinstance(name, str) and isinstance(hall, str):
-        made.halls[name] = hall
-    made.add_all(rows)
-    return made
-
-
-def _table(rows: list[dict[str, Any]], keys: list[str]) -> Iterator[str]:
-    shown_ = [[("-" if row.get(k) is None else str(row[k])) for k in keys] for row in rows]
-    widths = [max(len(k), *(len(r[n]) for r in shown_)) if shown_ else len(k) for n, k in enumerate(keys)]
-    for line in [keys, *shown_]:
-        cells = [c.ljust(w) if n < 2 else c.rjust(w) for n, (c, w) in enumerate(zip(line, widths, strict=True))]
-        yield "  ".join(cells).rstrip()
+        summary.halls[name] = hall
+    summary.add_all(records)
+    return summary
+
+
+def _format_table(rows: list[dict[str, Any]], keys: list[str]) -> Iterator[str]:
+    cells = [[("-" if row.get(key) is None else str(row[key])) for key in keys] for row in rows]
+    widths = [
+        max(len(key), *(len(line[index]) for line in cells)) if cells else len(key) for index, key in enumerate(keys)
+    ]
+    for line in [keys, *cells]:
+        padded = [
+            cell.ljust(width) if index < 2 else cell.rjust(width)
+            for index, (cell, width) in enumerate(zip(line, widths, strict=True))
+        ]
+        yield "  ".join(padded).rstrip()
 
 
 FORMAT = click.option(
@@ -392,12 +413,12 @@
 )
 
 
-def _print(rows: list[dict[str, Any]], form: str, whole: Any) -> None:
+def _print_rows(rows: list[dict[str, Any]], form: str, json_data: Any) -> None:
     keys = list(dict.fromkeys(chain.from_iterable(rows)))
     if form == "json":
         import json
 
-        click.echo(json.dumps(whole, indent=1))
+        click.echo(json.dumps(json_data, indent=1))
     elif form == "csv":
         import csv
 
@@ -405,14 +426,16 @@
         writer.writeheader()
         writer.writerows(rows)
     else:
-        for line in _table(rows, keys):
+        for line in _format_table(rows, keys):
             click.echo(line)
 
 
 @command("summarise")
 @click.argument("file", type=FILE)
-@_filters
-@click.option("--window", type=click.FloatRange(min=0.001), metavar="SECONDS", help="Also by windows of time.")
+@_query_options
+@click.option(
+    "--window", type=click.FloatRange(min=0.001), metavar="SECONDS", help="Also sum up by time windows of this length."
+)
 @FORMAT
 def summarise(
     file: Path,
@@ -427,54 +450,54 @@
     """Sum up outcomes, attempts, moves and the time to up by class, tenant, host, hall and window."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        rows = progress(reader.read(_wanted(reader, since, until, id_, host, cls)), "summarise")
-        made = _summary(reader, rows, round((window or 0) * 1e6))
-        _print(made.rows(), form, made.as_json())
+        rows = progress(reader.read(_query(reader, since, until, id_, host, cls)), "summarise")
+        summary = _summary(reader, rows, round((window or 0) * 1e6))
+        _print_rows(summary.as_rows(), form, summary.as_json())
         if form == "table":
-            for name in ("upstream", "moves", "ends", "lost"):
-                told = made.as_json()[name]
-                if told:
-                    click.echo(f"{name}: " + ", ".join(f"{k} {v}" for k, v in told.items()))
-        _tell(reader)
+            for figure in ("upstream", "moves", "ends", "lost"):
+                counts = summary.as_json()[figure]
+                if counts:
+                    click.echo(f"{figure}: " + ", ".join(f"{key} {count}" for key, count in counts.items()))
+        _report_damage(reader)
 
 
 @command("diff")
 @click.argument("a", type=FILE)
 @click.argument("b", type=FILE)
-@click.option("--all", "all_", is_flag=True, help="Also what differs by no more than chance would have it.")
+@click.option("--all", "all_", is_flag=True, help="Include differences that may be due to chance.")
 @FORMAT
 def diff(a: Path, b: Path, all_: bool, form: str) -> None:
     """Compare two traces: outcomes and time to up by class, placements, cuts and moves by host.
 
-    z: by how many standard errors two shares differ; beyond 3 it is hardly chance.
+    z is the difference of two shares in standard errors; beyond 3 it is hardly due to chance.
     """
-    from bramblestile.trace.summary import differences
+    from bramblestile.trace.summary import compare
 
     with ExitStack() as stack:
         readers = [_open(stack, file) for file in (a, b)]
-        one, other = (_summary(r, progress(r.read(), str(r.path.name))) for r in readers)
+        first, second = (_summary(reader, progress(reader.read(), str(reader.path.name))) for reader in readers)
         rows = [
             row
-            for row in differences(one, other)
+            for row in compare(first, second)
             if all_ or row["beyond_chance"] or (row["z"] is None and row["a"] != row["b"])
         ]
-        _print(rows, form, rows)
+        _print_rows(rows, form, rows)
         for reader in readers:
-            _tell(reader)
+            _report_damage(reader)
 
 
 @command("story")
 @click.argument("file", type=FILE)
 @click.argument("request")
 def story(file: Path, request: str) -> None:
-    """Tell one REQUEST from its arrival to its end: what was known of which host, what was chosen and why."""
-    from bramblestile.trace.story import tell
+    """Show one REQUEST from its arrival to its end: the candidates and their figures, the decisions and the reasons."""
+    from bramblestile.trace.story import describe
 
     with ExitStack() as stack:
         reader = _open(stack, file)
-        rows = list(reader.read(Wanted(id=request)))
-        _tell(reader)
-        if not rows:
+        records = list(reader.read(Query(id=request)))
+        _report_damage(reader)
+        if not records:
             raise Failed(f"{file}: no request {request}")
-        for line in tell(rows, shown):
+        for line in describe(records, shown):
             click.echo(line)
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -80,17 +80,17 @@
     """Its libraries are loaded here and nowhere else on the way of ``run``: the platform's program has none."""
     try:
         from bramblestile.trace import recorder
-        from bramblestile.trace.keeping import Limits
+        from bramblestile.trace.retention import RetentionLimits
     except ImportError as error:
         raise ConfigError(f"trace: needs the extra 'trace' of this package ({error.name} is not installed)") from None
     return recorder.Recorder(
-        recorder.Plan(
+        recorder.RecorderConfig(
             plan.directory,
             plan.instance,
             plan.hall,
             plan.flush,
             plan.buffer,
-            Limits(plan.file_bytes, plan.file_age, plan.total_bytes),
+            RetentionLimits(plan.file_bytes, plan.file_age, plan.total_bytes),
             plan.keep,
         ),
         counters,
@@ -376,7 +376,7 @@
         """Records by this plan from now on; None: not at all."""
         if self.recorder is not None:
             self.tracing.to = Tracer()
-            self.recorder.stop(within=timedelta(seconds=2))
+            self.recorder.stop(timeout=timedelta(seconds=2))
             self.recorder = None
         if plan is not None:
             self.recorder = recorder = make_recorder(plan, self.counters)
--- a/bramblestile/trace/__init__.py
+++ b/bramblestile/trace/__init__.py
@@ -1,11 +1,11 @@
-"""Trace files: what happened to every request, and what the balancer believed when it decided.
+"""Trace files: what happened to every request, and the state of the candidates at each decision.
 
-The door for whoever reads traces: ``Reader``, ``Writer``, ``Wanted`` and ``TraceError``; the records themselves are in
-``trace.records``. The daemon's door is ``trace.recorder``, which the tools need not load. All of it needs the extra
-``trace`` (msgspec, zstandard, xxhash).
+Tools read traces through ``Reader``, ``Writer``, ``Query`` and ``TraceError``; the records themselves are in
+``trace.records``. The daemon writes traces through ``trace.recorder``, which the tools need not load. The package needs
+the extra ``trace`` (msgspec, zstandard, xxhash).
 """
 
-from bramblestile.trace.files import Reader, Wanted, Writer
+from bramblestile.trace.files import Query, Reader, Writer
 from bramblestile.trace.frames import TraceError
 
-__all__ = ["Reader", "TraceError", "Wanted", "Writer"]
+__all__ = ["Query", "Reader", "TraceError", "Writer"]
--- a/bramblestile/trace/columns.py
+++ b/bramblestile/trace/columns.py
@@ -1,8 +1,9 @@
-"""Columns of values to bytes and back; no I/O. Laid out in docs/trace-format.md.
+"""Encoders and decoders for columns of integers, floats, flags and strings; no I/O.
 
-Everything here works on whole columns with operations that run at C speed (slices, ``array``, ``accumulate``), and
-leaves the squeezing to the compressor: what it does is to put alike bytes beside each other. Decoding trusts
-nothing: each length is checked against what is there and against a bound before memory is taken for it.
+docs/trace-format.md describes the layout. The functions work on whole columns with operations that run at C speed
+(slices, ``array``, ``accumulate``) and leave compression to zstandard: an encoder only arranges the bytes so that
+similar ones are adjacent. Decoders treat their input as untrusted: each length is checked against the remaining bytes
+and against a limit before memory is allocated for it.
 """
 
 from __future__ import annotations
@@ -16,98 +17,127 @@
 from operator import eq, sub
 from typing import TypeVar
 
-MOST_VALUES = 1 << 20  # of one column, so that a damaged length cannot ask for gigabytes
-MOST_TEXT = 1 << 23  # bytes of all texts of one dictionary
+MAX_VALUES = 1 << 20  # per column, so that a damaged length cannot request gigabytes
+MAX_STRING_TABLE_BYTES = 1 << 23  # total size of the strings in one table
+MAX_SHORT_STRING_BYTES = 1 << 10
+MAX_HEX_STRING_BYTES = 1 << 16  # of one string of a table in the HEX layout, after decoding its digits
+MAX_DECIMALS = 9
+MAX_SCALABLE = 1e9  # floats of a larger magnitude are stored as they are
+SCALE_SAMPLE = 16  # values tried before a whole column is scaled
+# Bytes of an integer, and the type code of ``array`` for it.
 WIDTHS = ((1, "B"), (2, "H"), (4, "I"), (8, "Q"))
-CONSTANT, OFFSET, DELTA, KEYED, LINKED, TOLD = range(6)  # how whole numbers are laid out
-RAW, DECIMAL = range(2)  # how fractions are
-PLAIN, HEX = range(2)  # how texts are
-DECIMALS = (0, 1, 2, 3, 6)  # tried in this order: a scale too fine is a factor that no compressor finds
-_HEX = frozenset("0123456789abcdef")
+# The layouts of a column, as stored in the file.
+CONSTANT, OFFSET, DELTA, KEYED_DELTA, PREDICTED, UPDATED_DELTA = range(6)  # integers
+RAW, DECIMAL = range(2)  # floats
+PLAIN, HEX = range(2)  # strings
+# Decimal places to try, in this order: a scale finer than needed multiplies all values by a factor that no compressor
+# detects.
+DECIMALS = (0, 1, 2, 3, 6)
+_HEX_DIGITS = frozenset("0123456789abcdef")
 
 
 N = TypeVar("N", int, float)
-Predict = Callable[[int, bool], Sequence[int]]  # by a kind's number, and whether spans since it are meant
+# Predicted values, by the number of the record kind and whether to predict the time elapsed since that record.
+Predictor = Callable[[int, bool], Sequence[int]]
 
 
 @dataclass(slots=True, frozen=True)
-class Link:
-    """What another kind's records say of the same requests: a number to take off each value."""
+class Prediction:
+    """Values predicted from the records of another kind for the same requests.
+
+    The column stores the differences from ``values``. ``kind`` is the number of the other kind in the block;
+    ``elapsed`` says that a value is predicted as the time since that record, not as a copy of its field.
+    """
 
     kind: int
-    since: bool
-    predicted: Sequence[int]
+    elapsed: bool
+    values: Sequence[int]
 
 
-TIME, SAME, ZERO = range(3)  # what a record sets the last value of its key to: its `at`, its like-named field, 0
-Sets = Sequence[tuple[int, int, float]]  # (row from which it holds, key, value), in the order of rows
-Hear = Callable[[int, int], Sets]  # by a kind's number, and which of the three is meant
+# Where an update takes the new value of a key from: the record's `at`, its field of the column's name, or 0.
+SOURCE_TIME, SOURCE_SAME_FIELD, SOURCE_ZERO = range(3)
+Updates = Sequence[tuple[int, int, float]]  # (first row it applies to, key, value), in row order
+UpdateLookup = Callable[[int, int], Updates]  # by the number of the record kind and the source
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """What the records of another kind said of the same keys between the rows of this column. A host's figures stay
-    until it is asked again, and what it answered then is a record of its own: nothing is left to tell here."""
+class KeyUpdates:
+    """Values that the records of another kind give to the keys of this column, between its rows.
+
+    The load figures of a host stay the same until its next probe, and the result of a probe is a record of its own, so
+    the column need not repeat what that record holds.
+    """
 
     kind: int
-    what: int
-    sets: Sets
+    source: int
+    updates: Updates
 
 
 class ColumnError(Exception):
-    """Bytes that are no column, or a value that no column can hold."""
+    """Bytes that are not a valid column, or a value that no column can hold."""
 
 
 class Cursor:
-    """Reads bytes in order and never beyond their end."""
+    """Reads values from bytes in order.
 
-    __slots__ = ("at", "data", "end")
+    All methods raise ColumnError where the bytes end too early or hold no valid value.
+    """
+
+    __slots__ = ("data", "end", "position")
 
     def __init__(self, data: bytes | memoryview) -> None:
-        self.data, self.at, self.end = memoryview(data), 0, len(data)
+        self.data, self.position, self.end = memoryview(data), 0, len(data)
 
-    def take(self, size: int) -> memoryview:
-        if size < 0 or size > self.end - self.at:
-            raise ColumnError(f"{size} bytes wanted, {self.end - self.at} left")
-        self.at += size
-        return self.data[self.at - size : self.at]
+    def read(self, size: int) -> memoryview:
+        """Return the next ``size`` bytes."""
+        if size < 0 or size > self.end - self.position:
+            raise ColumnError(f"{size} bytes expected, {self.end - self.position} left")
+        self.position += size
+        return self.data[self.position - size : self.position]
 
-    def byte(self) -> int:
-        return self.take(1)[0]
+    def read_byte(self) -> int:
+        """Return the next byte."""
+        return self.read(1)[0]
 
-    def varint(self) -> int:
-        """LEB128, ten bytes at most: 64 bits."""
+    def read_varint(self) -> int:
+        """Read an unsigned integer in LEB128: at most ten bytes, for 64 bits."""
         value = shift = 0
         while True:
-            byte = self.byte()
+            byte = self.read_byte()
             value |= (byte & 0x7F) << shift
             if byte < 0x80:
                 return value
             shift += 7
             if shift > 63:
-                raise ColumnError("a number of more than ten bytes")
+                raise ColumnError("a varint of more than ten bytes")
 
-    def count(self, most: int = MOST_VALUES) -> int:
-        value = self.varint()
-        if value > most:
-            raise ColumnError(f"a count of {value}, over {most}")
+    def read_count(self, limit: int = MAX_VALUES) -> int:
+        """Read a varint that must not exceed ``limit``."""
+        value = self.read_varint()
+        if value > limit:
+            raise ColumnError(f"count {value} exceeds the limit of {limit}")
         return value
 
-    def signed(self) -> int:
-        """Zigzag with a sign byte, for numbers of up to 65 bits: a difference of two 64-bit ones."""
-        sign = self.byte()
+    def read_signed(self) -> int:
+        """Read a sign byte and a varint.
+
+        The result has up to 65 bits, enough for the difference of two 64-bit integers.
+        """
+        sign = self.read_byte()
         if sign > 1:
-            raise ColumnError(f"sign {sign}")
-        return -self.varint() - 1 if sign else self.varint()
+            raise ColumnError(f"invalid sign byte {sign}")
+        return -self.read_varint() - 1 if sign else self.read_varint()
 
-    def text(self) -> str:
+    def read_string(self) -> str:
+        """Read a length and that many bytes of UTF-8."""
         try:
-            return str(self.take(self.count(1 << 10)), "utf-8")
+            return str(self.read(self.read_count(MAX_SHORT_STRING_BYTES)), "utf-8")
         except UnicodeDecodeError as error:
             raise ColumnError(str(error)) from None
 
 
-def varint(value: int) -> bytes:
+def encode_varint(value: int) -> bytes:
+    """Encode an unsigned integer in LEB128."""
     out = bytearray()
     while value >= 0x80:
         out.append(value & 0x7F | 0x80)
@@ -116,254 +146,306 @@
     return bytes(out)
 
 
-def signed(value: int) -> bytes:
-    return b"\x01" + varint(-value - 1) if value < 0 else b"\x00" + varint(value)
+def encode_signed(value: int) -> bytes:
+    """Encode an integer as a sign byte and a varint."""
+    return b"\x01" + encode_varint(-value - 1) if value < 0 else b"\x00" + encode_varint(value)
 
 
-def short_text(value: str) -> bytes:
+def encode_short_string(value: str) -> bytes:
+    """Encode a length and the string in UTF-8."""
     raw = value.encode()
-    return varint(len(raw)) + raw
+    return encode_varint(len(raw)) + raw
 
 
-# Whole numbers.
+# Integers.
 
 
-def _planes(values: Iterable[float], width: int, code: str) -> bytes:
-    """Fixed-width little-endian numbers, all their lowest bytes first: the high ones are mostly zero."""
-    made = array(code, values)
+def _to_byte_planes(values: Iterable[float], width: int, code: str) -> bytes:
+    """Encode fixed-width little-endian numbers as byte planes.
+
+    All lowest bytes come first; the planes of the higher bytes are mostly zeros.
+    """
+    numbers = array(code, values)
     if sys.byteorder == "big":
-        made.byteswap()
-    raw = made.tobytes()
-    return raw if width == 1 else b"".join(raw[n::width] for n in range(width))
+        numbers.byteswap()
+    data = numbers.tobytes()
+    return data if width == 1 else b"".join(data[n::width] for n in range(width))
 
 
-def _from_planes(cursor: Cursor, count: int, width: int) -> array[int]:
+def _from_byte_planes(cursor: Cursor, count: int, width: int) -> array[int]:
     code = dict(WIDTHS).get(width)
     if code is None:
-        raise ColumnError(f"width {width}")
-    return _joined(array(code), cursor.take(count * width), count, width)
+        raise ColumnError(f"invalid integer width {width}")
+    return _join_planes(array(code), cursor.read(count * width), count, width)
 
 
-def _joined(made: array[N], raw: memoryview, count: int, width: int) -> array[N]:
-    """The numbers of these planes, into an array of their type."""
+def _join_planes(numbers: array[N], raw: memoryview, count: int, width: int) -> array[N]:
+    """Decode byte planes into ``numbers``, an empty array of the wanted type."""
     if width == 1:
-        made.frombytes(raw)
-        return made
-    whole = bytearray(count * width)
-    for n in range(width):
-        whole[n::width] = raw[n * count : (n + 1) * count]
-    made.frombytes(whole)
+        numbers.frombytes(raw)
+        return numbers
+    interleaved = bytearray(count * width)
+    for plane in range(width):
+        interleaved[plane::width] = raw[plane * count : (plane + 1) * count]
+    numbers.frombytes(interleaved)
     if sys.byteorder == "big":
-        made.byteswap()
-    return made
+        numbers.byteswap()
+    return numbers
 
 
-def _width(span: int) -> tuple[int, str]:
+def _width_for(value_range: int) -> tuple[int, str]:
+    """Return the smallest width in bytes, and its type code, that holds 0 to ``value_range``."""
     for width, code in WIDTHS:
-        if span < 1 << 8 * width:
+        if value_range < 1 << 8 * width:
             return width, code
-    raise ColumnError("whole numbers more than 64 bits apart")
+    raise ColumnError("integers differ by more than 64 bits")
 
 
-def _based(values: Sequence[int]) -> tuple[int, int]:
+def _min_and_range(values: Sequence[int]) -> tuple[int, int]:
     low = min(values)
     return low, max(values) - low
 
 
-def _spread(values: Sequence[int], low: int) -> bytes:
-    """Base, width and planes of ``values``."""
-    width, code = _width(max(values) - low)
-    plain = values if low == 0 else [v - low for v in values]
-    return signed(low) + bytes([width]) + _planes(plain, width, code)
+def _encode_offsets(values: Sequence[int], low: int) -> bytes:
+    """Encode the base ``low``, the width, and the byte planes of the differences from the base."""
+    width, code = _width_for(max(values) - low)
+    offsets = values if low == 0 else [v - low for v in values]
+    return encode_signed(low) + bytes([width]) + _to_byte_planes(offsets, width, code)
+
 
+def _runs_between_updates(keys: Sequence[int], updates: Updates) -> Iterator[tuple[int, int, dict[int, int]]]:
+    """Yield the runs of rows between updates, as (first row, end row, last value of each key before the run).
 
-def _walk(keys: Sequence[int], sets: Sets) -> Iterator[tuple[int, int, dict[int, int]]]:
-    """The runs of rows between two sets, as (from, to), with the last value of each key as it stands before them. The
-    caller keeps it up to date with the rows: writer and reader go through the same states."""
+    The caller updates the mapping with the rows of the run, so that encoder and decoder go through the same states.
+    """
     last: dict[int, int] = {}
-    begun = 0
-    for start, key, value in sets:
-        if start > begun:
-            yield begun, start, last
-            begun = start
+    begin = 0
+    for row, key, value in updates:
+        if row > begin:
+            yield begin, row, last
+            begin = row
         last[key] = int(value)
-    yield begun, len(keys), last
+    yield begin, len(keys), last
 
 
-def _moved(values: Sequence[int], keys: Sequence[int], sets: Sets) -> list[int]:
-    moved = [0] * len(values)
-    for begin, end, last in _walk(keys, sets):
+def _keyed_deltas(values: Sequence[int], keys: Sequence[int], updates: Updates) -> list[int]:
+    """Return the difference of each value from the last value of the same key."""
+    deltas = [0] * len(values)
+    for begin, end, last in _runs_between_updates(keys, updates):
         for n in range(begin, end):
             key, value = keys[n], values[n]
-            moved[n] = value - last.get(key, 0)
+            deltas[n] = value - last.get(key, 0)
             last[key] = value
-    return moved
+    return deltas
 
 
-def put_ints(
-    values: Sequence[int], keys: Sequence[int] | None = None, link: Link | None = None, told: Told | None = None
+def encode_ints(
+    values: Sequence[int],
+    keys: Sequence[int] | None = None,
+    prediction: Prediction | None = None,
+    key_updates: KeyUpdates | None = None,
 ) -> bytes:
-    """At least one value. With ``keys``, each may be told as its difference from the last one of the same key:
-    what is known of one host repeats from decision to decision until that host is asked again; with ``told``, that
-    answer counts as the last one. With ``link``, as its difference from what is predicted, where that is less."""
-    low, span = _based(values)
-    if span == 0:
-        return bytes([CONSTANT]) + signed(low)
+    """Encode at least one integer in the layout that is likely to compress best.
+
+    With ``keys``, a value may be stored as its difference from the last value of the same key: the figures of a host
+    repeat from decision to decision until its next probe. With ``key_updates``, the result of that probe counts as the
+    last value. With ``prediction``, a value may be stored as its difference from the predicted one.
+
+    Raises:
+        ColumnError: the values differ by more than 64 bits.
+    """
+    low, value_range = _min_and_range(values)
+    if value_range == 0:
+        return bytes([CONSTANT]) + encode_signed(low)
     if keys is not None:
-        for heard in (told, None) if told is not None and told.sets else (None,):
-            moved = _moved(values, keys, heard.sets if heard else ())
-            if moved.count(0) * 2 > len(moved):
-                head = bytes([TOLD]) + varint(heard.kind) + bytes([heard.what]) if heard else bytes([KEYED])
-                return head + _spread(moved, min(moved))
-    if link is not None:
-        off = list(map(sub, values, link.predicted))
-        if sum(map(int.bit_length, off)) < sum(map(int.bit_length, values)):
-            return bytes([LINKED]) + varint(link.kind) + bytes([link.since]) + _spread(off, min(off))
+        for candidate in (key_updates, None) if key_updates is not None and key_updates.updates else (None,):
+            deltas = _keyed_deltas(values, keys, candidate.updates if candidate else ())
+            if deltas.count(0) * 2 > len(deltas):
+                layout = (
+                    bytes([UPDATED_DELTA]) + encode_varint(candidate.kind) + bytes([candidate.source])
+                    if candidate
+                    else bytes([KEYED_DELTA])
+                )
+                return layout + _encode_offsets(deltas, min(deltas))
+    if prediction is not None:
+        residuals = list(map(sub, values, prediction.values))
+        if sum(map(int.bit_length, residuals)) < sum(map(int.bit_length, values)):
+            return (
+                bytes([PREDICTED])
+                + encode_varint(prediction.kind)
+                + bytes([prediction.elapsed])
+                + _encode_offsets(residuals, min(residuals))
+            )
     steps = list(map(sub, values[1:], values))
-    step_low, step_span = _based(steps)
-    if step_span * 2 < span:  # half a bit and more a value: below that the compressor finds as much by itself
-        return bytes([DELTA]) + signed(values[0]) + _spread(steps, step_low)
-    return bytes([OFFSET]) + _spread(values, low)
+    min_step, step_range = _min_and_range(steps)
+    # Deltas must save a bit per value: with less to gain, the compressor does as well on the values themselves.
+    if step_range * 2 < value_range:
+        return bytes([DELTA]) + encode_signed(values[0]) + _encode_offsets(steps, min_step)
+    return bytes([OFFSET]) + _encode_offsets(values, low)
 
 
-def get_ints(
+def decode_ints(
     cursor: Cursor,
     count: int,
     keys: Sequence[int] | None = None,
-    predict: Predict | None = None,
-    hear: Hear | None = None,
+    predict: Predictor | None = None,
+    lookup_updates: UpdateLookup | None = None,
 ) -> list[int]:
-    mode = cursor.byte()
+    """Decode ``count`` integers.
+
+    ``keys``, ``predict`` and ``lookup_updates`` must give what the encoder was given; ColumnError is raised where the
+    layout needs one that is missing.
+    """
+    mode = cursor.read_byte()
     if mode == CONSTANT:
-        return [cursor.signed()] * count
+        return [cursor.read_signed()] * count
     if mode == DELTA:
-        first = cursor.signed()
-        base = cursor.signed()
-        steps = _from_planes(cursor, count - 1, cursor.byte())
+        first = cursor.read_signed()
+        base = cursor.read_signed()
+        steps = _from_byte_planes(cursor, count - 1, cursor.read_byte())
         return list(accumulate(chain((first,), [s + base for s in steps] if base else steps)))
-    if mode == LINKED and predict is not None:
-        predicted = predict(cursor.count(), bool(cursor.byte()))
-        base = cursor.signed()
-        off = _from_planes(cursor, count, cursor.byte())
+    if mode == PREDICTED and predict is not None:
+        predicted = predict(cursor.read_count(), bool(cursor.read_byte()))
+        base = cursor.read_signed()
+        residuals = _from_byte_planes(cursor, count, cursor.read_byte())
         if len(predicted) != count:
-            raise ColumnError("a link to records that are not there")
-        return [p + base + o for p, o in zip(predicted, off, strict=True)]
-    sets: Sets = ()
-    if mode == TOLD and hear is not None:
-        sets = hear(cursor.count(), cursor.byte())
-    elif mode not in (OFFSET, KEYED):
-        raise ColumnError(f"layout {mode} of whole numbers")
-    base = cursor.signed()
-    plain = _from_planes(cursor, count, cursor.byte())
-    values = [v + base for v in plain] if base else list(plain)
+            raise ColumnError("the column is predicted from records that are missing")
+        return [p + base + r for p, r in zip(predicted, residuals, strict=True)]
+    updates: Updates = ()
+    if mode == UPDATED_DELTA and lookup_updates is not None:
+        updates = lookup_updates(cursor.read_count(), cursor.read_byte())
+    elif mode not in (OFFSET, KEYED_DELTA):
+        raise ColumnError(f"unknown layout {mode} of integers")
+    base = cursor.read_signed()
+    offsets = _from_byte_planes(cursor, count, cursor.read_byte())
+    values = [v + base for v in offsets] if base else list(offsets)
     if mode == OFFSET:
         return values
     if keys is None or len(keys) != count:
-        raise ColumnError("a keyed column without keys")
-    for begin, end, last in _walk(keys, sets):
+        raise ColumnError("a keyed column has no keys")
+    for begin, end, last in _runs_between_updates(keys, updates):
         for n in range(begin, end):
             key = keys[n]
             values[n] = last[key] = last.get(key, 0) + values[n]
     return values
 
 
-# Fractions, flags and texts.
+# Floats, flags and strings.
+
 
+def _scale_to_ints(values: Sequence[float]) -> tuple[int, list[int]] | None:
+    """Return the first of DECIMALS that represents all values exactly, and the values as integers of that scale.
 
-def _scaled(values: Sequence[float]) -> tuple[int, list[int]] | None:
-    """The values as whole numbers of the first scale that gives each of them back exactly."""
-    if not all(map(isfinite, values)) or max(map(abs, values)) > 1e9:
+    None where no scale does.
+    """
+    if not all(map(isfinite, values)) or max(map(abs, values)) > MAX_SCALABLE:
         return None
-    some = values[:16]
+    sample = values[:SCALE_SAMPLE]
     for decimals in DECIMALS:
         scale = 10**decimals
-        if any(round(v * scale) / scale != v for v in some):
+        if any(round(v * scale) / scale != v for v in sample):
             continue
-        whole = [round(v * scale) for v in values]
-        if all(map(eq, [w / scale for w in whole], values)):
-            # Zero equals minus zero, and only one of the two comes back.
-            minus = 0 in whole and any(v == 0 and copysign(1, v) < 0 for v in values)
-            return None if minus else (decimals, whole)
+        scaled_values = [round(v * scale) for v in values]
+        if all(map(eq, [v / scale for v in scaled_values], values)):
+            # -0.0 equals 0.0 but would be decoded as 0.0.
+            has_negative_zero = 0 in scaled_values and any(v == 0 and copysign(1, v) < 0 for v in values)
+            return None if has_negative_zero else (decimals, scaled_values)
     return None
 
 
-def _whole(sets: Sets, scale: int) -> Sets:
-    """In the scale of the column; what has none there is not told."""
-    return [(row, key, round(v * scale)) for row, key, v in sets if isfinite(v) and abs(v) <= 1e9]
+def _scale_updates(updates: Updates, scale: int) -> Updates:
+    """Convert updates to the scale of the column, without those whose value it cannot represent."""
+    return [(row, key, round(v * scale)) for row, key, v in updates if isfinite(v) and abs(v) <= MAX_SCALABLE]
 
 
-def put_floats(values: Sequence[float], keys: Sequence[int] | None = None, told: Told | None = None) -> bytes:
-    scaled = _scaled(values)
+def encode_floats(
+    values: Sequence[float], keys: Sequence[int] | None = None, key_updates: KeyUpdates | None = None
+) -> bytes:
+    """Encode floats as scaled integers if that is exact, otherwise as their bytes."""
+    scaled = _scale_to_ints(values)
     if scaled is not None:
-        decimals, whole = scaled
-        if told is not None:
-            told = Told(told.kind, told.what, _whole(told.sets, 10**decimals))
-        return bytes([DECIMAL, decimals]) + put_ints(whole, keys, told=told)
-    return bytes([RAW]) + _planes(values, 8, "d")
-
-
-def get_floats(cursor: Cursor, count: int, keys: Sequence[int] | None = None, hear: Hear | None = None) -> list[float]:
-    mode = cursor.byte()
+        decimals, scaled_values = scaled
+        if key_updates is not None:
+            key_updates = KeyUpdates(
+                key_updates.kind, key_updates.source, _scale_updates(key_updates.updates, 10**decimals)
+            )
+        return bytes([DECIMAL, decimals]) + encode_ints(scaled_values, keys, key_updates=key_updates)
+    return bytes([RAW]) + _to_byte_planes(values, 8, "d")
+
+
+def decode_floats(
+    cursor: Cursor, count: int, keys: Sequence[int] | None = None, lookup_updates: UpdateLookup | None = None
+) -> list[float]:
+    """Decode ``count`` floats."""
+    mode = cursor.read_byte()
     if mode == DECIMAL:
-        decimals = cursor.byte()
-        if decimals > 9:
-            raise ColumnError(f"{decimals} decimals")
+        decimals = cursor.read_byte()
+        if decimals > MAX_DECIMALS:
+            raise ColumnError(f"{decimals} decimal places exceed the limit of {MAX_DECIMALS}")
         scale = 10**decimals
-        heard = None if hear is None else lambda kind, what: _whole(hear(kind, what), scale)
-        return [w / scale for w in get_ints(cursor, count, keys, hear=heard)]
+        scaled_lookup = (
+            None if lookup_updates is None else lambda kind, source: _scale_updates(lookup_updates(kind, source), scale)
+        )
+        return [v / scale for v in decode_ints(cursor, count, keys, lookup_updates=scaled_lookup)]
     if mode != RAW:
-        raise ColumnError(f"layout {mode} of fractions")
-    return list(_joined(array("d"), cursor.take(count * 8), count, 8))
+        raise ColumnError(f"unknown layout {mode} of floats")
+    return list(_join_planes(array("d"), cursor.read(count * 8), count, 8))
 
 
-def put_flags(values: Sequence[bool]) -> bytes:
+def encode_flags(values: Sequence[bool]) -> bytes:
+    """Encode booleans as one byte each."""
     return bytes(values)
 
 
-def get_flags(cursor: Cursor, count: int) -> list[bool]:
-    raw = cursor.take(count)
+def decode_flags(cursor: Cursor, count: int) -> list[bool]:
+    """Decode ``count`` booleans."""
+    raw = cursor.read(count)
     if count and max(raw) > 1:
-        raise ColumnError("a flag that is neither 0 nor 1")
+        raise ColumnError("a flag is neither 0 nor 1")
     return [bool(v) for v in raw]
 
 
-def put_texts(values: Sequence[str]) -> bytes:
-    """A dictionary: distinct texts, numbered in this order. Ids in hexadecimal take half their letters."""
+def encode_strings(values: Sequence[str]) -> bytes:
+    """Encode a string table: distinct strings, numbered in this order.
+
+    Strings of hexadecimal digits and of one even length, such as ids, take half a byte per digit.
+    """
     if not values:
-        return varint(0)
-    first = len(values[0])
-    if first and first % 2 == 0 and all(len(v) == first and _HEX.issuperset(v) for v in values):
-        return varint(len(values)) + bytes([HEX]) + varint(first // 2) + bytes.fromhex("".join(values))
-    raw = [v.encode("utf-8", "replace") for v in values]
-    return varint(len(values)) + bytes([PLAIN]) + put_ints([len(r) for r in raw]) + b"".join(raw)
+        return encode_varint(0)
+    width = len(values[0])
+    if width and width % 2 == 0 and all(len(v) == width and _HEX_DIGITS.issuperset(v) for v in values):
+        return encode_varint(len(values)) + bytes([HEX]) + encode_varint(width // 2) + bytes.fromhex("".join(values))
+    encoded = [v.encode("utf-8", "replace") for v in values]
+    return encode_varint(len(values)) + bytes([PLAIN]) + encode_ints([len(e) for e in encoded]) + b"".join(encoded)
 
 
-def get_texts(cursor: Cursor) -> list[str]:
-    count = cursor.count()
+def decode_strings(cursor: Cursor) -> list[str]:
+    """Decode a string table."""
+    count = cursor.read_count()
     if count == 0:
         return []
-    mode = cursor.byte()
+    mode = cursor.read_byte()
     if mode == HEX:
-        width = cursor.count(1 << 16)
+        width = cursor.read_count(MAX_HEX_STRING_BYTES)
         if width == 0:
-            raise ColumnError("texts of no width")
-        whole = cursor.take(count * width).hex()
-        return [whole[at : at + 2 * width] for at in range(0, len(whole), 2 * width)]
+            raise ColumnError("hexadecimal strings of width 0")
+        digits = cursor.read(count * width).hex()
+        return [digits[start : start + 2 * width] for start in range(0, len(digits), 2 * width)]
     if mode != PLAIN:
-        raise ColumnError(f"layout {mode} of texts")
-    sizes = _lengths(get_ints(cursor, count), MOST_TEXT)
+        raise ColumnError(f"unknown layout {mode} of strings")
+    sizes = _check_lengths(decode_ints(cursor, count), MAX_STRING_TABLE_BYTES)
     try:
-        return [str(cursor.take(size), "utf-8") for size in sizes]
+        return [str(cursor.read(size), "utf-8") for size in sizes]
     except UnicodeDecodeError as error:
         raise ColumnError(str(error)) from None
 
 
-def _lengths(sizes: list[int], most: int) -> list[int]:
-    if min(sizes) < 0 or sum(sizes) > most:
-        raise ColumnError("lengths that cannot be")
+def _check_lengths(sizes: list[int], limit: int) -> list[int]:
+    if min(sizes) < 0 or sum(sizes) > limit:
+        raise ColumnError(f"lengths are negative or exceed {limit} in total")
     return sizes
 
 
-def get_sizes(cursor: Cursor, count: int) -> list[int]:
-    """How many items each row's list has."""
-    return _lengths(get_ints(cursor, count), MOST_VALUES) if count else []
+def decode_sizes(cursor: Cursor, count: int) -> list[int]:
+    """Decode the number of items in each row's list."""
+    return _check_lengths(decode_ints(cursor, count), MAX_VALUES) if count else []
--- a/bramblestile/trace/files.py
+++ b/bramblestile/trace/files.py
@@ -1,7 +1,7 @@
-"""Trace files on disk: a writer that appends whole blocks, and a reader that hops over them.
+"""Trace files on disk: a writer that appends whole blocks, and a reader that skips from block to block.
 
-The reader guarantees: it raises TraceError and OSError and nothing else, returns no record of a block whose checksum
-does not hold, and takes memory for one block at a time (frames.MOST_RAW), whatever the file claims.
+The reader raises only TraceError and OSError, returns no record of a block whose checksum does not match, and holds one
+block in memory at a time (frames.MAX_RAW_BYTES), whatever the file claims.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 from bramblestile.trace import frames, payload
 from bramblestile.trace.columns import ColumnError
-from bramblestile.trace.frames import FRAME_SIZE, Frame, Packer, TraceError, Unpacker
-from bramblestile.trace.payload import Unknown
-from bramblestile.trace.records import Record, corrected, hosts_of, ids_of
+from bramblestile.trace.frames import FRAME_SIZE, BlockDecoder, BlockEncoder, Frame, TraceError
+from bramblestile.trace.payload import UnknownCounts
+from bramblestile.trace.records import Record, corrected_time, hosts_in, request_id_of
 
-BESIDE = min(4, os.cpu_count() or 1)  # threads of a tool that squeeze blocks
-BLOCK = 32768  # records of a block that a tool writes: docs/design/trace.md tells why
-LEVEL = 19  # zstandard's, for tools; the daemon takes a lower one
-_SEARCH = 1 << 18  # bytes read at a time while looking for a mark behind damage
+COMPRESSION_THREADS = min(4, os.cpu_count() or 1)  # used by the tools
+BLOCK_RECORDS = 32768  # per block that a tool writes; docs/design/trace.md explains the choice
+ZSTD_LEVEL = 19  # for tools; the daemon uses a lower one
+_SEARCH_BYTES = 1 << 18  # read at a time while searching for a block mark after damage
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """Where a block lies."""
+class BlockLocation:
+    """The offset of a block in the file, and its frame."""
 
     offset: int
     frame: Frame
@@ -38,21 +38,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Damage:
-    """Bytes that could not be used. ``records``: how many are known to be lost with them."""
+    """Bytes that could not be used, and the number of records known to be lost with them."""
 
     offset: int
     size: int
-    why: str
-    records: int = 0
+    reason: str
+    record_count: int = 0
 
     def __str__(self) -> str:
-        lost = f", {self.records} records" if self.records else ""
-        return f"offset {self.offset}: {self.size} bytes{lost}: {self.why}"
+        records = f", {self.record_count} records" if self.record_count else ""
+        return f"offset {self.offset}: {self.size} bytes{records}: {self.reason}"
 
 
 @dataclass(slots=True)
-class Wanted:
-    """What to read: a window of corrected times (from included, to excluded), an id, a host, a class."""
+class Query:
+    """Selects the records to read.
+
+    ``since`` (included) and ``until`` (excluded) are corrected times in microseconds; ``id`` is a request, ``cls`` a
+    class.
+    """
 
     since: int | None = None
     until: int | None = None
@@ -60,51 +64,59 @@
     host: str | None = None
     cls: str | None = None
 
-    def may_be_in(self, frame: Frame) -> bool:
-        return (self.since is None or frame.last >= self.since) and (self.until is None or frame.first < self.until)
+    def overlaps(self, frame: Frame) -> bool:
+        """Return whether the time window overlaps that of a block."""
+        return (self.since is None or frame.last_us >= self.since) and (
+            self.until is None or frame.first_us < self.until
+        )
 
-    def keys(self) -> list[str]:
-        return ([frames.id_key(self.id)] if self.id is not None else []) + (
+    def filter_keys(self) -> list[str]:
+        """Return the keys that the filter of a matching block contains."""
+        return ([frames.request_key(self.id)] if self.id is not None else []) + (
             [frames.host_key(self.host)] if self.host is not None else []
         )
 
-    def takes(self, record: Record) -> bool:
-        """All but the class, which a request's later records do not tell: the reader knows it (``Reader.read``)."""
-        at = corrected(record)
+    def matches(self, record: Record) -> bool:
+        """Return whether a record matches everything but the class.
+
+        Most records of a request do not hold its class; ``Reader.read`` checks that.
+        """
+        at = corrected_time(record)
         return (
             (self.since is None or at >= self.since)
             and (self.until is None or at < self.until)
-            and (self.id is None or ids_of(record) == self.id)
-            and (self.host is None or self.host in hosts_of(record))
+            and (self.id is None or request_id_of(record) == self.id)
+            and (self.host is None or self.host in hosts_in(record))
         )
 
 
 @dataclass(slots=True)
 class Reader:
-    """One trace. ``damage`` and ``unknown`` fill while it is read."""
+    """Reads one trace file, collecting ``damage`` and ``unknown`` on the way."""
 
     path: Path
     description: dict[str, Any] = field(default_factory=dict)
     damage: list[Damage] = field(default_factory=list)
-    damaged: int = 0  # how many; the list keeps the first MOST_DAMAGE
-    unknown: Unknown = field(default_factory=Unknown)
+    damage_count: int = 0  # the list holds only the first MAX_DAMAGE_ENTRIES
+    unknown: UnknownCounts = field(default_factory=UnknownCounts)
     size: int = 0
     _file: BinaryIO = field(init=False)
-    _start: int = 0
-    _unpacker: Unpacker = field(default_factory=Unpacker)
+    _first_block_offset: int = 0
+    _decoder: BlockDecoder = field(default_factory=BlockDecoder)
 
-    MOST_DAMAGE = 1000
+    MAX_DAMAGE_ENTRIES = 1000
 
     def __post_init__(self) -> None:
         self._file = open(self.path, "rb")  # noqa: SIM115 - closed by close()
         try:
             self.size = os.fstat(self._file.fileno()).st_size
-            self._read_head()
+            self._read_header()
         except BaseException:
             self._file.close()
             raise
 
     def close(self) -> None:
+        """Close the file."""
         self._file.close()
 
     def __enter__(self) -> Reader:
@@ -113,213 +125,237 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def _at(self, offset: int, size: int) -> bytes:
+    def _read_at(self, offset: int, size: int) -> bytes:
         self._file.seek(offset)
         return self._file.read(size)
 
-    def _report(self, damage: Damage) -> None:
-        self.damaged += 1
-        if len(self.damage) < self.MOST_DAMAGE:
+    def _report_damage(self, damage: Damage) -> None:
+        self.damage_count += 1
+        if len(self.damage) < self.MAX_DAMAGE_ENTRIES:
             self.damage.append(damage)
 
-    def _read_head(self) -> None:
-        fixed = self._at(0, frames.FILE_HEAD_SIZE)
-        more = frames.description_size(fixed)
-        if more is not None and frames.FILE_HEAD_SIZE + more <= self.size:
-            got = frames.read_file_head(fixed + self._at(len(fixed), more))
-            if got is not None:
-                self.description, self._start = got, len(fixed) + more
+    def _read_header(self) -> None:
+        fixed = self._read_at(0, frames.FILE_HEADER_SIZE)
+        remaining = frames.description_size(fixed)
+        if remaining is not None and frames.FILE_HEADER_SIZE + remaining <= self.size:
+            description = frames.decode_file_header(fixed + self._read_at(len(fixed), remaining))
+            if description is not None:
+                self.description, self._first_block_offset = description, len(fixed) + remaining
                 return
-        # A damaged head hides no block: whoever finds a sound frame has a trace before him.
-        first = self._find(0)
-        if first is None and fixed[:8] != frames.MAGIC:
+        # A damaged header does not hide the blocks: a file with a valid frame is a trace.
+        first_offset = self._find_frame(0)
+        if first_offset is None and fixed[:8] != frames.MAGIC:
             raise TraceError("not a trace")
-        self._start = self.size if first is None else first
-        self._report(Damage(0, self._start, "the file's head is damaged"))
-
-    def _find(self, start: int) -> int | None:
-        """Where the next sound frame begins."""
-        at = start
-        while at < self.size:
-            chunk = self._at(at, _SEARCH + FRAME_SIZE)
-            found = chunk.find(frames.MARK)
-            while 0 <= found < _SEARCH:
-                if frames.read_frame(chunk[found : found + FRAME_SIZE]) is not None:
-                    return at + found
-                found = chunk.find(frames.MARK, found + 1)
-            at += _SEARCH
+        self._first_block_offset = self.size if first_offset is None else first_offset
+        self._report_damage(Damage(0, self._first_block_offset, "the file header is damaged"))
+
+    def _find_frame(self, start: int) -> int | None:
+        """Return the offset of the next valid frame from ``start`` on."""
+        offset = start
+        while offset < self.size:
+            chunk = self._read_at(offset, _SEARCH_BYTES + FRAME_SIZE)
+            found = chunk.find(frames.BLOCK_MARK)
+            while 0 <= found < _SEARCH_BYTES:
+                if frames.decode_frame(chunk[found : found + FRAME_SIZE]) is not None:
+                    return offset + found
+                found = chunk.find(frames.BLOCK_MARK, found + 1)
+            offset += _SEARCH_BYTES
         return None
 
-    def places(self) -> Iterator[Place]:
-        """All blocks in the order of the file; reads frames only. Damage between them is reported."""
-        at = self._start
-        while at < self.size:
-            frame = frames.read_frame(self._at(at, FRAME_SIZE))
-            if frame is not None and at + frame.size <= self.size:
-                yield Place(at, frame)
-                at += frame.size
+    def block_locations(self) -> Iterator[BlockLocation]:
+        """Yield all blocks in file order, reading only their frames; damage between them is reported."""
+        offset = self._first_block_offset
+        while offset < self.size:
+            frame = frames.decode_frame(self._read_at(offset, FRAME_SIZE))
+            if frame is not None and offset + frame.size <= self.size:
+                yield BlockLocation(offset, frame)
+                offset += frame.size
                 continue
-            following = self._find(at + 1)
+            following = self._find_frame(offset + 1)
             end = self.size if following is None else following
-            self._report(Damage(at, end - at, self._why(at, end, frame), frame.records if frame else 0))
-            at = end
-
-    def _why(self, at: int, end: int, frame: Frame | None) -> str:
+            self._report_damage(
+                Damage(
+                    offset, end - offset, self._damage_reason(offset, end, frame), frame.record_count if frame else 0
+                )
+            )
+            offset = end
+
+    def _damage_reason(self, start: int, end: int, frame: Frame | None) -> str:
         if frame is not None:
             return "the last block is cut off" if end == self.size else "a block is cut off"
-        if not self._at(at, min(end - at, _SEARCH)).strip(b"\0"):
+        if not self._read_at(start, min(end - start, _SEARCH_BYTES)).strip(b"\0"):
             return "zeros"
-        return "the last block is cut off" if end == self.size and end - at < FRAME_SIZE else "no sound block"
+        return "the last block is cut off" if end == self.size and end - start < FRAME_SIZE else "no valid block"
 
-    def filter(self, place: Place) -> bytes:
-        return self._at(place.offset + FRAME_SIZE, place.frame.filter)
+    def read_filter(self, location: BlockLocation) -> bytes:
+        """Read the filter of a block."""
+        return self._read_at(location.offset + FRAME_SIZE, location.frame.filter_bytes)
 
-    def block(self, place: Place) -> list[Record]:
-        """A block's records; none, and a report, where it is damaged."""
+    def read_block(self, location: BlockLocation) -> list[Record]:
+        """Read the records of a block; a damaged one is reported and has none."""
         try:
-            return self._unpacker.records(place.frame, self._body(place), self.unknown)
+            return self._decoder.decode(location.frame, self._read_body(location), self.unknown)
         except TraceError as error:
-            self._report(Damage(place.offset, place.frame.size, str(error), place.frame.records))
+            self._report_damage(Damage(location.offset, location.frame.size, str(error), location.frame.record_count))
             return []
 
-    def _body(self, place: Place) -> bytes:
-        return self._at(place.offset + FRAME_SIZE, place.frame.filter + place.frame.payload)
+    def _read_body(self, location: BlockLocation) -> bytes:
+        return self._read_at(location.offset + FRAME_SIZE, location.frame.filter_bytes + location.frame.payload_bytes)
 
-    def _holds(self, place: Place, wanted: Wanted) -> bool:
-        """Looks at the filter first, then at the block's own list of names, which costs a tenth of its records."""
-        keys = wanted.keys()
+    def _may_match(self, location: BlockLocation, query: Query) -> bool:
+        """Return whether a block may hold matching records.
+
+        Checks the filter first, and then the string tables of the block, which cost a tenth of decoding its records.
+        """
+        keys = query.filter_keys()
         if not keys:
             return True
-        filter_ = self.filter(place)
-        if not all(frames.may_hold(filter_, key) for key in keys):
+        filter_ = self.read_filter(location)
+        if not all(frames.may_contain(filter_, key) for key in keys):
             return False
-        if place.frame.layout != frames.COLUMNS:
+        if location.frame.layout != frames.COLUMNS:
             return True
         try:
-            texts = payload.texts_of(self._unpacker.raw(place.frame, self._body(place)))
+            tables = payload.read_string_tables(self._decoder.decompress(location.frame, self._read_body(location)))
         except (TraceError, ColumnError):
-            return True  # reading the block reports it
-        return (wanted.id is None or wanted.id in texts.get("id", ())) and (
-            wanted.host is None or wanted.host in texts.get("host", ())
+            return True  # reading the block will report the damage
+        return (query.id is None or query.id in tables.get("id", ())) and (
+            query.host is None or query.host in tables.get("host", ())
         )
 
-    def read(self, wanted: Wanted | None = None) -> Iterator[Record]:
-        """The records that are wanted, in the order of the file. A class is told by a request's first and last
-        record only: it is looked up in the same file, whose other records of that class's ids belong to it."""
-        wanted = wanted or Wanted()
-        ids = None if wanted.cls is None else self._ids_of_class(wanted)
-        for place in self.places():
-            if wanted.may_be_in(place.frame) and self._holds(place, wanted):
-                for record in self.block(place):
-                    if wanted.takes(record) and (ids is None or ids_of(record) in ids):
+    def read(self, query: Query | None = None) -> Iterator[Record]:
+        """Yield the matching records in file order.
+
+        Only the first and last record of a request hold its class, so a query by class first collects the ids of that
+        class from the same file.
+        """
+        query = query or Query()
+        ids = None if query.cls is None else self._ids_of_class(query)
+        for location in self.block_locations():
+            if query.overlaps(location.frame) and self._may_match(location, query):
+                for record in self.read_block(location):
+                    if query.matches(record) and (ids is None or request_id_of(record) in ids):
                         yield record
 
-    def _ids_of_class(self, wanted: Wanted) -> set[str]:
-        """Connections live for minutes: what stood in the window may have asked long before it."""
-        found: set[str] = set()
-        for place in self.places():
-            if wanted.until is None or place.frame.first < wanted.until:
-                for record in self.block(place):
-                    if getattr(record, "cls", None) == wanted.cls:
-                        found.add(ids_of(record) or "")
-        self.forget()
-        return found
-
-    def forget(self) -> None:
-        """Between two passes: the second one reports again what the first has met."""
+    def _ids_of_class(self, query: Query) -> set[str]:
+        """Return the ids of the class's requests that began before the end of the window.
+
+        Connections live for minutes: one within the window may have been requested long before it.
+        """
+        ids: set[str] = set()
+        for location in self.block_locations():
+            if query.until is None or location.frame.first_us < query.until:
+                for record in self.read_block(location):
+                    if getattr(record, "cls", None) == query.cls:
+                        ids.add(request_id_of(record) or "")
+        self.clear_findings()
+        return ids
+
+    def clear_findings(self) -> None:
+        """Forget damage and unknown fields between two passes; the second one finds them again."""
         self.damage.clear()
-        self.damaged = 0
+        self.damage_count = 0
         self.unknown.counts.clear()
 
 
 class Sink(Protocol):
-    def write(self, data: bytes, /) -> int: ...
+    """A file that a Writer appends to."""
+
+    def write(self, data: bytes, /) -> int:
+        """Write all bytes."""
 
 
 class Writer:
-    """Appends blocks to an open file. ``add`` gathers records; a block goes out when it is full, or at ``flush``.
+    """Appends blocks to an open file.
 
-    ``beside``: threads that squeeze blocks while the next ones are encoded; blocks still go out in their order, and
-    at most that many wait. Without, each block is whole in the file when ``write`` returns.
+    ``add`` collects records; a block is written when it is full, or by ``flush``. With ``threads``, that many threads
+    compress blocks while the next ones are encoded; blocks are written in order, and at most that many wait. Without,
+    each block is in the file when ``write_block`` returns.
     """
 
     def __init__(
         self,
         file: Sink,
         description: dict[str, Any],
-        level: int = LEVEL,
-        block: int = BLOCK,
+        level: int = ZSTD_LEVEL,
+        block_records: int = BLOCK_RECORDS,
         layout: int = frames.COLUMNS,
-        beside: int = 0,
+        threads: int = 0,
     ) -> None:
         self._file = file
-        self._packers = [Packer(level, layout) for _ in range(max(1, beside))]
-        self._pool = ThreadPoolExecutor(beside) if beside else None
-        self._waiting: deque[Future[bytes]] = deque()
-        self._block = block
-        self._held: list[Record] = []
+        self._encoders = [BlockEncoder(level, layout) for _ in range(max(1, threads))]
+        self._pool = ThreadPoolExecutor(threads) if threads else None
+        self._compressing: deque[Future[bytes]] = deque()
+        self._block_records = block_records
+        self._pending: list[Record] = []
         self._number = 0
-        self.records = 0
-        head = frames.file_head(description)
-        file.write(head)
-        self.bytes = len(head)
+        self.record_count = 0
+        header = frames.encode_file_header(description)
+        file.write(header)
+        self.bytes_written = len(header)
 
     def add(self, record: Record) -> None:
-        self._held.append(record)
-        if len(self._held) >= self._block:
-            self._flush()
+        """Add one record to the next block."""
+        self._pending.append(record)
+        if len(self._pending) >= self._block_records:
+            self._write_pending()
 
     def extend(self, records: Iterable[Record]) -> None:
+        """Add records to the next blocks."""
         for record in records:
             self.add(record)
 
-    def _flush(self) -> None:
-        if self._held:
-            held, self._held = self._held, []
-            self.write(held)
+    def _write_pending(self) -> None:
+        if self._pending:
+            pending, self._pending = self._pending, []
+            self.write_block(pending)
 
     def flush(self) -> None:
-        """All that was added is in the file."""
-        self._flush()
-        while self._waiting:
-            self._put(self._waiting.popleft().result())
-
-    def write(self, records: Sequence[Record]) -> None:
-        """One block of these records."""
-        packer = self._packers[self._number % len(self._packers)]
-        block, number = packer.encode(records), self._number
+        """Write everything that was added."""
+        self._write_pending()
+        while self._compressing:
+            self._append(self._compressing.popleft().result())
+
+    def write_block(self, records: Sequence[Record]) -> None:
+        """Write these records as one block."""
+        encoder = self._encoders[self._number % len(self._encoders)]
+        block, number = encoder.encode(records), self._number
         self._number += 1
         if self._pool is None:
-            self._put(packer.squeeze(block, number))
+            self._append(encoder.compress(block, number))
         else:
-            # As many wait as there are packers: the one that is used next has given its last block back.
-            if len(self._waiting) == len(self._packers):
-                self._put(self._waiting.popleft().result())
-            self._waiting.append(self._pool.submit(packer.squeeze, block, number))
-        self.records += len(records)
+            # At most one block waits per encoder, so the encoder that is used next has finished its last one.
+            if len(self._compressing) == len(self._encoders):
+                self._append(self._compressing.popleft().result())
+            self._compressing.append(self._pool.submit(encoder.compress, block, number))
+        self.record_count += len(records)
 
-    def _put(self, made: bytes) -> None:
-        self._file.write(made)
-        self.bytes += len(made)
+    def _append(self, encoded: bytes) -> None:
+        self._file.write(encoded)
+        self.bytes_written += len(encoded)
 
     def close(self) -> None:
-        """Lets go of the threads; what waited is dropped (``flush`` comes first)."""
+        """Stop the threads, dropping blocks that still wait: call ``flush`` before."""
         if self._pool is not None:
             self._pool.shutdown(cancel_futures=True)
 
 
 @contextmanager
-def whole_file(path: Path, force: bool) -> Iterator[BinaryIO]:
-    """A file that appears under its name when it is whole, or not at all. TraceError where it is there already."""
+def atomic_file(path: Path, force: bool) -> Iterator[BinaryIO]:
+    """Open a file that appears under its name only when it is complete.
+
+    Raises:
+        TraceError: the file exists and ``force`` is not set.
+    """
     if path.exists() and not force:
-        raise TraceError(f"{path}: is there already; --force overwrites it")
-    beside = path.with_name(f".{path.name}.{secrets.token_hex(4)}.part")
+        raise TraceError(f"{path}: already exists; --force overwrites it")
+    temporary = path.with_name(f".{path.name}.{secrets.token_hex(4)}.part")
     try:
-        with open(beside, "xb") as file:
+        with open(temporary, "xb") as file:
             yield file
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
     finally:
         with suppress(FileNotFoundError):
-            beside.unlink()
+            temporary.unlink()
--- a/bramblestile/trace/frames.py
+++ b/bramblestile/trace/frames.py
@@ -1,8 +1,8 @@
-"""The frame round each block and the head of a file; no I/O. Laid out in docs/trace-format.md.
+"""The file header and the frames around blocks; no I/O.
 
-A block's frame can be checked without its payload, so a reader hops from frame to frame, and knows which blocks
-to read for a window, an id or a host, having read some hundred bytes of each. A mark at the start of each frame lets
-it find the next one behind damage; the block's number tells how many were lost on the way.
+docs/trace-format.md describes the layout. A frame can be checked without its payload, so a reader skips from frame to
+frame and decides from some hundred bytes of each which blocks to read for a time window, an id or a host. The mark at
+the start of each frame allows it to find the next block after damage; block numbers tell how many were lost.
 """
 
 from __future__ import annotations
@@ -20,22 +20,23 @@
 
 from bramblestile.trace import payload, rows
 from bramblestile.trace.columns import ColumnError
-from bramblestile.trace.payload import Unknown
+from bramblestile.trace.payload import UnknownCounts
 from bramblestile.trace.records import Decision, Listed, Record
 
 MAGIC = b"BRAMTRC\n"
 MAJOR, MINOR = 1, 0
-MARK = b"\xb1\x0cBrTr\x1a\n"  # begins each block; not text, so that no text file holds it by chance
-_FILE_HEAD = struct.Struct("<8sHHI")  # magic, major, minor, bytes of the description
-# Mark, layout, payload, raw, filter, records, first, last, number, check of the body.
-_FRAME = struct.Struct("<8sIIIIIqqQQ")
+BLOCK_MARK = b"\xb1\x0cBrTr\x1a\n"  # starts each block; contains bytes that are not text, so that no text file has it
+_FILE_HEADER = struct.Struct("<8sHHI")  # magic, major version, minor version, size of the description
+# Mark, layout, payload size, raw size, filter size, record count, first time, last time, block number, body checksum.
+_FRAME_HEADER = struct.Struct("<8sIIIIIqqQQ")
 COLUMNS, ROWS = range(2)  # layouts of a payload
-FRAME_SIZE = _FRAME.size + 8  # and the frame's own check
-FILE_HEAD_SIZE = _FILE_HEAD.size
-MOST_RAW = 1 << 25  # bytes of one payload, unpacked: what a reader may be made to take for one block
-MOST_FILTER = 1 << 20
-MOST_DESCRIPTION = 1 << 20
-FILTER_BITS = 6  # a key, of which four are set: one block in 18 is looked into for nothing (Bloom, 1970)
+FRAME_SIZE = _FRAME_HEADER.size + 8  # with the frame's own checksum
+FILE_HEADER_SIZE = _FILE_HEADER.size
+MAX_RAW_BYTES = 1 << 25  # of one decompressed payload: bounds the memory that a file can make a reader allocate
+MAX_FILTER_BYTES = 1 << 20
+MAX_DESCRIPTION_BYTES = 1 << 20
+FILTER_BITS_PER_KEY = 6  # with four bits set per key: false positives for one block in 18 (Bloom, 1970)
+MIN_FILTER_BITS = 64
 
 
 _get_at, _get_adj = attrgetter("at"), attrgetter("adj")
@@ -44,42 +45,48 @@
 
 
 class TraceError(Exception):
-    """What is wrong with a trace, in one line."""
+    """A fault of a trace, described in one line."""
 
 
-def check(data: bytes | memoryview) -> int:
+def checksum(data: bytes | memoryview) -> int:
+    """Return the 64-bit XXH3 hash that protects headers, frames and blocks."""
     return xxhash.xxh3_64_intdigest(data)
 
 
-# The file's head.
+# File header.
 
 
-def file_head(description: dict[str, Any]) -> bytes:
-    text = msgspec.json.encode(description)
-    head = _FILE_HEAD.pack(MAGIC, MAJOR, MINOR, len(text)) + text
-    return head + check(head).to_bytes(8, "little")
+def encode_file_header(description: dict[str, Any]) -> bytes:
+    """Encode the header of a trace file."""
+    encoded = msgspec.json.encode(description)
+    header = _FILE_HEADER.pack(MAGIC, MAJOR, MINOR, len(encoded)) + encoded
+    return header + checksum(header).to_bytes(8, "little")
 
 
-def description_size(head: bytes) -> int | None:
-    """Bytes that follow the head's fixed part; None where these are not a trace's first bytes."""
-    if len(head) < FILE_HEAD_SIZE:
+def description_size(header: bytes) -> int | None:
+    """Return the size of the header after its fixed part, or None if this is not the start of a trace."""
+    if len(header) < FILE_HEADER_SIZE:
         return None
-    magic, _, _, size = _FILE_HEAD.unpack_from(head)
-    return size + 8 if magic == MAGIC and size <= MOST_DESCRIPTION else None
+    magic, _, _, size = _FILE_HEADER.unpack_from(header)
+    return size + 8 if magic == MAGIC and size <= MAX_DESCRIPTION_BYTES else None
 
 
-def read_file_head(head: bytes) -> dict[str, Any] | None:
-    """The description; None where the head is damaged. TraceError for a sound one of a newer major version."""
-    if check(head[:-8]).to_bytes(8, "little") != head[-8:]:
+def decode_file_header(header: bytes) -> dict[str, Any] | None:
+    """Return the description in a whole header, or None if the header is damaged.
+
+    Raises:
+        TraceError: the header is valid, but of a newer major version.
+    """
+    if checksum(header[:-8]).to_bytes(8, "little") != header[-8:]:
         return None
-    _, major, minor, _ = _FILE_HEAD.unpack_from(head)
+    _, major, minor, _ = _FILE_HEADER.unpack_from(header)
     if major != MAJOR:
         raise TraceError(f"version {major}.{minor} of the format; this program reads {MAJOR}.x")
     try:
-        got = msgspec.json.decode(head[FILE_HEAD_SIZE:-8])
+        description = msgspec.json.decode(header[FILE_HEADER_SIZE:-8])
     except msgspec.MsgspecError:
         return None
-    return got if isinstance(got, dict) else None
+    return description if isinstance(description, dict) else None
 
 
 # Blocks.
@@ -87,181 +94,223 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One block's frame. ``first``, ``last``: the corrected times of its records, both included."""
+    """The frame of one block.
+
+    ``first_us`` and ``last_us`` are the earliest and latest corrected time of its records.
+    """
 
     number: int
-    records: int
-    first: int
-    last: int
-    payload: int
-    raw: int
-    filter: int
-    body_check: int
+    record_count: int
+    first_us: int
+    last_us: int
+    payload_bytes: int
+    raw_bytes: int
+    filter_bytes: int
+    body_checksum: int
     layout: int = COLUMNS
 
     @property
     def size(self) -> int:
-        return FRAME_SIZE + self.filter + self.payload
+        """The size of the whole block: frame, filter and payload."""
+        return FRAME_SIZE + self.filter_bytes + self.payload_bytes
 
-    def pack(self) -> bytes:
-        head = _FRAME.pack(
-            MARK,
+    def encode(self) -> bytes:
+        """Encode the frame with its checksum."""
+        header = _FRAME_HEADER.pack(
+            BLOCK_MARK,
             self.layout,
-            self.payload,
-            self.raw,
-            self.filter,
-            self.records,
-            self.first,
-            self.last,
+            self.payload_bytes,
+            self.raw_bytes,
+            self.filter_bytes,
+            self.record_count,
+            self.first_us,
+            self.last_us,
             self.number,
-            self.body_check,
+            self.body_checksum,
         )
-        return head + check(head).to_bytes(8, "little")
+        return header + checksum(header).to_bytes(8, "little")
 
 
-def read_frame(head: bytes | memoryview) -> Frame | None:
-    """None where these bytes are no sound frame."""
-    if len(head) < FRAME_SIZE or check(head[: _FRAME.size]).to_bytes(8, "little") != head[_FRAME.size : FRAME_SIZE]:
+def decode_frame(header: bytes | memoryview) -> Frame | None:
+    """Decode a frame, or return None if these bytes are not a valid one."""
+    if (
+        len(header) < FRAME_SIZE
+        or checksum(header[: _FRAME_HEADER.size]).to_bytes(8, "little") != header[_FRAME_HEADER.size : FRAME_SIZE]
+    ):
         return None
-    mark, layout, size, raw, filter_, records, first, last, number, body = _FRAME.unpack_from(head)
-    if mark != MARK or raw > MOST_RAW or filter_ > MOST_FILTER or not 0 < records <= payload.MOST_RECORDS:
+    mark, layout, payload_bytes, raw_bytes, filter_bytes, record_count, first_us, last_us, number, body_checksum = (
+        _FRAME_HEADER.unpack_from(header)
+    )
+    if (
+        mark != BLOCK_MARK
+        or raw_bytes > MAX_RAW_BYTES
+        or filter_bytes > MAX_FILTER_BYTES
+        or not 0 < record_count <= payload.MAX_RECORDS
+    ):
         return None
-    return Frame(number, records, first, last, size, raw, filter_, body, layout)
+    return Frame(number, record_count, first_us, last_us, payload_bytes, raw_bytes, filter_bytes, body_checksum, layout)
 
 
-def id_key(name: str) -> str:
+def request_key(name: str) -> str:
+    """Return the filter key of a request id."""
     return "i" + name
 
 
 def host_key(name: str) -> str:
+    """Return the filter key of a host."""
     return "h" + name
 
 
 _DIGITS = bytes.maketrans(b"\x00\x01", b"01")
 
 
-def _probes(key: str, bits: int) -> tuple[int, int, int, int]:
-    """Which bits stand for a key: double hashing (Kirsch and Mitzenmacher, 2006). Written out, and not a loop: this is
-    half of what a block costs the daemon."""
-    both = check(key.encode("utf-8", "replace"))
-    one, two = both & 0xFFFFFFFF, both >> 32 | 1
-    return one % bits, (one + two) % bits, (one + 2 * two) % bits, (one + 3 * two) % bits
+def _bloom_bits(key: str, bits: int) -> tuple[int, int, int, int]:
+    """Return the four filter bits of a key, by double hashing (Kirsch and Mitzenmacher, 2006).
 
+    Unrolled, because hashing keys is half of the daemon's cost per block.
+    """
+    digest = checksum(key.encode("utf-8", "replace"))
+    first, step = digest & 0xFFFFFFFF, digest >> 32 | 1
+    return first % bits, (first + step) % bits, (first + 2 * step) % bits, (first + 3 * step) % bits
 
-def make_filter(keys: Sequence[str]) -> bytes:
-    bits = max(64, len(keys) * FILTER_BITS + 7 & ~7)
-    flags = bytearray(bits)  # a byte a bit while they are set: half the steps of setting bits
+
+def build_filter(keys: Sequence[str]) -> bytes:
+    """Build the Bloom filter of a block."""
+    bits = max(MIN_FILTER_BITS, len(keys) * FILTER_BITS_PER_KEY + 7 & ~7)
+    flags = bytearray(bits)  # one byte per bit while building: half the steps of setting single bits
     for key in keys:
-        both = check(key.encode("utf-8", "replace"))  # as in _probes, whose call would cost as much as all of this
-        one, two = both & 0xFFFFFFFF, both >> 32 | 1
-        flags[one % bits] = flags[(one + two) % bits] = 1
-        flags[(one + 2 * two) % bits] = flags[(one + 3 * two) % bits] = 1
+        digest = checksum(key.encode("utf-8", "replace"))  # inlined: calling _bloom_bits would double the cost
+        first, step = digest & 0xFFFFFFFF, digest >> 32 | 1
+        flags[first % bits] = flags[(first + step) % bits] = 1
+        flags[(first + 2 * step) % bits] = flags[(first + 3 * step) % bits] = 1
     flags.reverse()
     return int(flags.translate(_DIGITS), 2).to_bytes(bits // 8, "little")
 
 
-def may_hold(filter_: bytes, key: str) -> bool:
-    """False proves that the block holds nothing of the key."""
-    return all(filter_[bit >> 3] >> (bit & 7) & 1 for bit in _probes(key, len(filter_) * 8)) if filter_ else True
+def may_contain(filter_: bytes, key: str) -> bool:
+    """Test a key against a filter; False proves that no record of the block has it."""
+    return all(filter_[bit >> 3] >> (bit & 7) & 1 for bit in _bloom_bits(key, len(filter_) * 8)) if filter_ else True
 
 
-def keys_of(records: Iterable[Record]) -> list[str]:
-    """What a block's filter holds: each request and each host that it tells of, once."""
+def filter_keys(records: Iterable[Record]) -> list[str]:
+    """Return the distinct filter keys of all requests and hosts that the records mention."""
     kinds: dict[type[Record], list[Record]] = {}
     for record in records:
         kinds.setdefault(type(record), []).append(record)
     ids: set[str | None] = set()
     hosts: set[str | None] = set()
-    for cls, of_kind in kinds.items():
-        # By whole kinds, at C speed: a step for each record would cost as much as all else that is done with it.
+    for cls, same_kind in kinds.items():
+        # Whole kinds at C speed: a Python step per record would cost as much as the rest of its processing.
         if "id" in cls.__struct_fields__:
-            ids.update(map(_get_id, of_kind))
+            ids.update(map(_get_id, same_kind))
         if "host" in cls.__struct_fields__:
-            hosts.update(map(_get_host, of_kind))
+            hosts.update(map(_get_host, same_kind))
         if cls is Decision:
-            hosts.update(map(_get_host, chain.from_iterable(map(_get_candidates, of_kind))))
+            hosts.update(map(_get_host, chain.from_iterable(map(_get_candidates, same_kind))))
         elif cls is Listed:
-            hosts.update(map(_get_host, chain.from_iterable(map(_get_hosts, of_kind))))
-    return [id_key(i) for i in ids if i is not None] + [host_key(h) for h in hosts if h is not None]
+            hosts.update(map(_get_host, chain.from_iterable(map(_get_hosts, same_kind))))
+    return [request_key(i) for i in ids if i is not None] + [host_key(h) for h in hosts if h is not None]
 
 
 @dataclass(slots=True, frozen=True)
-class Block:
-    """Records encoded but not yet squeezed: what comes next needs no interpreter's lock."""
+class EncodedBlock:
+    """Encoded but uncompressed records; compressing them does not need the interpreter lock."""
 
     raw: bytes
     filter: bytes
-    records: int
-    first: int
-    last: int
+    record_count: int
+    first_us: int
+    last_us: int
     layout: int
 
 
-class Packer:
-    """Records to whole blocks, in two steps. ``squeeze`` may run in another thread, one call at a time."""
+class BlockEncoder:
+    """Encodes records to whole blocks in two steps.
+
+    ``compress`` may run in another thread, one call at a time.
+    """
 
     def __init__(self, level: int, layout: int = COLUMNS) -> None:
         self._layout = layout
-        # Kept: to make one costs more than to squeeze a small block.
+        # Reused: creating a compressor costs more than compressing a small block.
         self._compressor = zstandard.ZstdCompressor(level=level, write_content_size=True, write_checksum=False)
 
-    def encode(self, records: Sequence[Record]) -> Block:
-        raw = payload.put(records) if self._layout == COLUMNS else rows.put(list(records))
-        if len(raw) > MOST_RAW:
-            raise TraceError(f"{len(records)} records take {len(raw)} bytes, over the bound of a block")
-        times, moved = list(map(_get_at, records)), list(map(_get_adj, records))
-        if any(moved):  # only a merge's records
-            times = list(map(add, times, moved))
-        return Block(raw, make_filter(keys_of(records)), len(records), min(times), max(times), self._layout)
-
-    def squeeze(self, block: Block, number: int) -> bytes:
-        packed = self._compressor.compress(block.raw)
-        body = block.filter + packed
+    def encode(self, records: Sequence[Record]) -> EncodedBlock:
+        """Encode the records and their filter.
+
+        Raises:
+            TraceError: the records exceed MAX_RAW_BYTES.
+            ColumnError: a value cannot be encoded.
+        """
+        raw = payload.encode(records) if self._layout == COLUMNS else rows.encode(list(records))
+        if len(raw) > MAX_RAW_BYTES:
+            raise TraceError(f"{len(records)} records take {len(raw)} bytes, more than a block may hold")
+        times, adjustments = list(map(_get_at, records)), list(map(_get_adj, records))
+        if any(adjustments):  # only records of a merge
+            times = list(map(add, times, adjustments))
+        return EncodedBlock(raw, build_filter(filter_keys(records)), len(records), min(times), max(times), self._layout)
+
+    def compress(self, block: EncodedBlock, number: int) -> bytes:
+        """Compress an encoded block and put its frame in front."""
+        compressed = self._compressor.compress(block.raw)
+        body = block.filter + compressed
         frame = Frame(
             number,
-            block.records,
-            block.first,
-            block.last,
-            len(packed),
+            block.record_count,
+            block.first_us,
+            block.last_us,
+            len(compressed),
             len(block.raw),
             len(block.filter),
-            check(body),
+            checksum(body),
             block.layout,
         )
-        return frame.pack() + body
+        return frame.encode() + body
 
-    def block(self, records: Sequence[Record], number: int) -> bytes:
-        return self.squeeze(self.encode(records), number)
+    def encode_block(self, records: Sequence[Record], number: int) -> bytes:
+        """Encode and compress one block."""
+        return self.compress(self.encode(records), number)
 
 
-class Unpacker:
+class BlockDecoder:
+    """Decodes blocks whose frames are valid."""
+
     def __init__(self) -> None:
         self._decompressor = zstandard.ZstdDecompressor()
 
-    def raw(self, frame: Frame, body: bytes) -> bytes:
-        """The payload of a block whose frame was sound. TraceError where the body is not what was written."""
-        if len(body) != frame.filter + frame.payload or check(body) != frame.body_check:
-            raise TraceError("the block's checksum does not hold")
+    def decompress(self, frame: Frame, body: bytes) -> bytes:
+        """Return the payload of a block.
+
+        Raises:
+            TraceError: the body is damaged.
+        """
+        if len(body) != frame.filter_bytes + frame.payload_bytes or checksum(body) != frame.body_checksum:
+            raise TraceError("the checksum of the block does not match")
         try:
-            packed = body[frame.filter :]
-            # The size told inside is what the library would take memory for: it must be the frame's.
-            if zstandard.frame_content_size(packed) != frame.raw:
-                raise TraceError("the block's size is not what its frame tells")
-            return self._decompressor.decompress(packed, max_output_size=frame.raw)
+            compressed = body[frame.filter_bytes :]
+            # The library allocates the size stated in the compressed data: it must be the one in the frame.
+            if zstandard.frame_content_size(compressed) != frame.raw_bytes:
+                raise TraceError("the size of the block differs from the one in its frame")
+            return self._decompressor.decompress(compressed, max_output_size=frame.raw_bytes)
         except zstandard.ZstdError as error:
-            raise TraceError(f"the block cannot be unpacked: {error}") from None
+            raise TraceError(f"the block cannot be decompressed: {error}") from None
+
+    def decode(self, frame: Frame, body: bytes, unknown: UnknownCounts) -> list[Record]:
+        """Return the records of a block; none, counted in ``unknown``, if its layout is unknown.
 
-    def records(self, frame: Frame, body: bytes, unknown: Unknown) -> list[Record]:
+        Raises:
+            TraceError: the body is damaged or not a valid payload.
+        """
         try:
             if frame.layout == COLUMNS:
-                made = payload.get(self.raw(frame, body), unknown)
+                decoded = payload.decode(self.decompress(frame, body), unknown)
             elif frame.layout == ROWS:
-                made = rows.get(self.raw(frame, body), unknown)
+                decoded = rows.decode(self.decompress(frame, body), unknown)
             else:
-                unknown.add(f"layout {frame.layout}", frame.records)
+                unknown.add(f"layout {frame.layout}", frame.record_count)
                 return []
         except ColumnError as error:
-            raise TraceError(f"the block makes no sense: {error}") from None
-        if len(made) > frame.records:
-            raise TraceError(f"the block holds {len(made)} records, its frame tells {frame.records}")
-        return made
+            raise TraceError(f"the payload of the block is invalid: {error}") from None
+        if len(decoded) > frame.record_count:
+            raise TraceError(f"the block holds {len(decoded)} records, its frame declares {frame.record_count}")
+        return decoded
--- a/bramblestile/trace/merging.py
+++ b/bramblestile/trace/merging.py
@@ -1,7 +1,8 @@
-"""Several traces to one, on one clock and in its order, in memory bounded by how far the files overlap.
+"""Merging several traces into one, in the order of a common clock.
 
-Two passes: the first gathers what links the clocks, the second sweeps over the blocks of all files by their corrected
-times and holds only blocks that the sweep has reached.
+The first pass collects the events that link the clocks. The second one goes through the blocks of all files in the
+order of their corrected start times, and holds only the blocks that it has reached: memory is bounded by how far the
+files overlap.
 """
 
 from __future__ import annotations
@@ -11,97 +12,114 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bramblestile.trace.clocks import Estimate, Seen, common, correction, estimate
-from bramblestile.trace.files import Place, Reader
-from bramblestile.trace.records import Record, corrected
+from bramblestile.trace.clocks import ClockEvents, Estimate, estimate_offset, path_to_reference, spanning_tree
+from bramblestile.trace.files import BlockLocation, Reader
+from bramblestile.trace.records import Record, corrected_time
 
+BLOCK_START_MARGIN_US = 1000  # ample: over a block, drift shifts a record by far less than a microsecond
 Progress = Callable[[Iterator[Record], str], Iterator[Record]]
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
-    """One file of a merge. ``chain``: from its clock to the common one; empty for the first, and where nothing
-    links it."""
+class MergeInput:
+    """One input file of a merge.
+
+    ``corrections`` lead from its clock to the common one; they are empty for the first file and for one without links.
+    """
 
     reader: Reader
     name: str
-    chain: tuple[Estimate, ...]
-    best: Estimate
-    known_by: str  # the file that its clock was compared with
+    corrections: tuple[Estimate, ...]
+    estimate: Estimate
+    compared_with: str  # the name of the file that its clock was compared with
 
-    def shift(self, at: int) -> int:
-        """What to add to a time of this file."""
+    def shift_us(self, at: int) -> int:
+        """Return what to add to a time of this file."""
         moved = at
-        for step in self.chain:
-            moved += step.at(moved)
+        for step in self.corrections:
+            moved += step.correction_us(moved)
         return moved - at
 
-    def told(self) -> dict[str, Any]:
-        """For the description of the file that is made."""
-        e = self.best
+    def describe(self) -> dict[str, Any]:
+        """Return the entry on this file for the description of the merged file."""
+        estimate = self.estimate
         return {
             "file": self.name,
-            "by": e.by,
-            "against": self.known_by,
-            "offset_us": round(e.offset_us),
-            "within_us": None if e.within_us == float("inf") else round(e.within_us),
-            "drift_ppm": round(e.drift * 1e6, 2),
-            "links": e.links,
-            "note": e.note,
+            "by": estimate.method,
+            "against": self.compared_with,
+            "offset_us": round(estimate.offset_us),
+            "within_us": None if estimate.error_us == float("inf") else round(estimate.error_us),
+            "drift_ppm": round(estimate.drift * 1e6, 2),
+            "links": estimate.links,
+            "note": estimate.note,
         }
 
 
 def _clock_of(reader: Reader, number: int) -> str:
-    """Files of one instance share a clock; a file that tells none has one of its own."""
+    """Return the name of a file's clock: files of one instance share it, a file without an instance has its own."""
     name = reader.description.get("instance")
     return f"i{name}" if isinstance(name, str) and name else f"#{number}"
 
 
-def align(readers: Sequence[Reader], progress: Progress) -> list[Part]:
-    """First pass: each file's way to the clock of the first."""
-    clocks: dict[str, Seen] = {}
-    first_of: dict[str, int] = {}
+def align(readers: Sequence[Reader], progress: Progress) -> list[MergeInput]:
+    """Make the first pass: find the corrections of each file's clock to that of the first file."""
+    clocks: dict[str, ClockEvents] = {}
+    first_with_clock: dict[str, int] = {}
     names = [reader.path.name for reader in readers]
-    for n, reader in enumerate(readers):
-        clock = _clock_of(reader, n)
-        first_of.setdefault(clock, n)
-        seen = clocks.setdefault(clock, Seen())
-        for record in progress(reader.read(), f"{names[n]}: looking for links"):
-            seen.hear(record)
-        reader.forget()
-    order = list(clocks)
-    known = {
-        (a, b): estimate(clocks[order[a]], clocks[order[b]])
-        for a in range(len(order))
-        for b in range(a + 1, len(order))
+    for index, reader in enumerate(readers):
+        clock = _clock_of(reader, index)
+        first_with_clock.setdefault(clock, index)
+        events = clocks.setdefault(clock, ClockEvents())
+        for record in progress(reader.read(), f"{names[index]}: collecting clock links"):
+            events.add(record)
+        reader.clear_findings()
+    clock_names = list(clocks)
+    estimates = {
+        (a, b): estimate_offset(clocks[clock_names[a]], clocks[clock_names[b]])
+        for a in range(len(clock_names))
+        for b in range(a + 1, len(clock_names))
     }
-    chain = common(known, len(order))
-    parts = []
-    for n, reader in enumerate(readers):
-        number = order.index(_clock_of(reader, n))
-        best, parent = chain[number]
-        parts.append(Part(reader, names[n], tuple(correction(chain, number)), best, names[first_of[order[parent]]]))
-    return parts
-
-
-def sweep(parts: Sequence[Part]) -> Iterator[Record]:
-    """Second pass: all records in the order of their corrected times; ties in the order of the files."""
-    places: list[tuple[int, int, int, Place]] = []
-    for n, part in enumerate(parts):
-        for m, place in enumerate(part.reader.places()):
-            # A block's ends, corrected; drift over a block is far below a microsecond a record, so 1 ms is ample.
-            places.append((place.frame.first + part.shift(place.frame.first) - 1000, n, m, place))
-    places.sort(key=lambda p: p[:3])
-    held: list[tuple[int, int, int, Record]] = []
-    count = 0
-    for start, n, _, place in places:
-        while held and held[0][0] < start:
-            yield heapq.heappop(held)[3]
-        part = parts[n]
-        for record in part.reader.block(place):
-            moved = part.shift(corrected(record))
-            record.adj += moved
-            count += 1
-            heapq.heappush(held, (corrected(record), n, count, record))
-    while held:
-        yield heapq.heappop(held)[3]
+    tree = spanning_tree(estimates, len(clock_names))
+    inputs = []
+    for index, reader in enumerate(readers):
+        clock_index = clock_names.index(_clock_of(reader, index))
+        estimate, parent = tree[clock_index]
+        inputs.append(
+            MergeInput(
+                reader,
+                names[index],
+                tuple(path_to_reference(tree, clock_index)),
+                estimate,
+                names[first_with_clock[clock_names[parent]]],
+            )
+        )
+    return inputs
+
+
+def merge_records(inputs: Sequence[MergeInput]) -> Iterator[Record]:
+    """Make the second pass: yield all records by corrected time, ties in the order of the files."""
+    queue: list[tuple[int, int, int, BlockLocation]] = []
+    for index, source in enumerate(inputs):
+        for block_index, location in enumerate(source.reader.block_locations()):
+            queue.append(
+                (
+                    location.frame.first_us + source.shift_us(location.frame.first_us) - BLOCK_START_MARGIN_US,
+                    index,
+                    block_index,
+                    location,
+                )
+            )
+    queue.sort(key=lambda entry: entry[:3])
+    heap: list[tuple[int, int, int, Record]] = []
+    sequence = 0
+    for earliest_us, index, _, location in queue:
+        while heap and heap[0][0] < earliest_us:
+            yield heapq.heappop(heap)[3]
+        source = inputs[index]
+        for record in source.reader.read_block(location):
+            shift = source.shift_us(corrected_time(record))
+            record.adj += shift
+            sequence += 1
+            heapq.heappush(heap, (corrected_time(record), index, sequence, record))
+    while heap:
+        yield heapq.heappop(heap)[3]
--- a/bramblestile/trace/payload.py
+++ b/bramblestile/trace/payload.py
@@ -1,7 +1,7 @@
-"""Records to the payload of a block and back; no I/O. Laid out byte for byte in docs/trace-format.md.
+"""Encoder and decoder for the columnar payload of a block; no I/O.
 
-A payload tells its own columns by name and type, so a block can be read by itself, and a reader passes over kinds
-and fields that it does not know (it counts them in ``Unknown``).
+docs/trace-format.md describes the layout byte by byte. A payload names its columns and their types, so that each block
+can be read by itself, and a reader skips kinds and fields that it does not know (``UnknownCounts``).
 """
 
 from __future__ import annotations
@@ -17,512 +17,591 @@
 from msgspec.structs import astuple
 
 from bramblestile.trace import columns
-from bramblestile.trace.columns import ColumnError, Cursor, short_text, signed, varint
-from bramblestile.trace.records import INT_LEAST, INT_MOST, KINDS, Probed, Record, name_of
-from bramblestile.trace.schema import BY_NAME, FLAG, FLOAT, INT, LINKS, SHAPES, TEXT, TOLD, Column, Shape
-
-MOST_RECORDS = 1 << 16  # of one block
-KEYS = ("cls", "host")  # what figures repeat with: a class waits as long each time, a host reports alike
-MOST_KINDS, MOST_COLUMNS = 256, 256
+from bramblestile.trace.columns import ColumnError, Cursor, encode_short_string, encode_signed, encode_varint
+from bramblestile.trace.records import KINDS, MAX_INT, MIN_INT, Probed, Record, kind_name
+from bramblestile.trace.schema import (
+    FLAG,
+    FLOAT,
+    INT,
+    PREDICTED_FROM,
+    SCHEMAS,
+    TEXT,
+    TYPES_BY_KIND,
+    UPDATED_BY,
+    Column,
+    StructSchema,
+)
+
+MAX_RECORDS = 1 << 16  # per block
+MAX_KINDS, MAX_COLUMNS = 256, 256
+MAX_COLUMN_BYTES = 1 << 24
+# The columns that others may be keyed by: requests of a class have the same deadline, and a host's figures repeat.
+KEY_COLUMNS = ("cls", "host")
+# How a nullable column starts: without a null, with one flag per row, or with nulls only.
+_ALL_PRESENT, _SOME_PRESENT, _NONE_PRESENT = range(3)
 
 
 @dataclass(slots=True)
-class Unknown:
-    """What a newer program wrote and this one does not know: how many records of a kind, or of a field."""
+class UnknownCounts:
+    """Counts of what a newer program wrote and this one cannot decode, by the name of the kind or field."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
-    def add(self, what: str, count: int) -> None:
-        self.counts[what] = self.counts.get(what, 0) + count
+    def add(self, name: str, count: int) -> None:
+        """Count ``count`` more records of a kind, or values of a field."""
+        self.counts[name] = self.counts.get(name, 0) + count
 
 
 # Writing.
 
 
-class _Texts:
-    """The dictionaries of a block: one for each field name, so that an id is kept once for all kinds."""
+class _StringTables:
+    """The string tables of a block: one per field name, so that an id is stored once for all kinds."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, dict[str, int]] = {}
+        self.tables: dict[str, dict[str, int]] = {}
 
-    def numbers(self, name: str, values: Sequence[str]) -> list[int]:
-        known = self.by_name.setdefault(name, {})
+    def indices(self, name: str, values: Sequence[str]) -> list[int]:
+        """Return the index of each string, adding new strings to the table of ``name``."""
+        table = self.tables.setdefault(name, {})
         for value in dict.fromkeys(values):
-            if value not in known:
-                known[value] = len(known)
-        return list(map(known.__getitem__, values))
-
-    def put(self) -> bytes:
-        parts = [varint(len(self.by_name))]
-        for name, known in self.by_name.items():
-            body = columns.put_texts(list(known))
-            parts += [short_text(name), varint(len(body)), body]
+            if value not in table:
+                table[value] = len(table)
+        return list(map(table.__getitem__, values))
+
+    def encode(self) -> bytes:
+        parts = [encode_varint(len(self.tables))]
+        for name, table in self.tables.items():
+            body = columns.encode_strings(list(table))
+            parts += [encode_short_string(name), encode_varint(len(body)), body]
         return b"".join(parts)
 
 
-def _check_ints(name: str, values: Sequence[int]) -> None:
-    if min(values) < INT_LEAST or max(values) > INT_MOST:
-        raise ColumnError(f"{name}: a whole number beyond 64 bits")
+def _check_int_range(name: str, values: Sequence[int]) -> None:
+    if min(values) < MIN_INT or max(values) > MAX_INT:
+        raise ColumnError(f"{name}: an integer exceeds 64 bits")
+
 
+class _RequestValues:
+    """The last value of each field for each request, in the kinds of a block that were processed so far.
 
-class _Linked:
-    """What the kinds of a block that came before say of a request, by column: the last of them counts. What this
-    program passed over can be referred to by what it reads, and then there is no right value to give."""
+    When decoding, a skipped kind or field has no values; a column that refers to it cannot be decoded.
+    """
 
     def __init__(self) -> None:
-        self._said: dict[tuple[int, str], dict[int, int]] = {}
-        self._passed: set[tuple[int, str]] = set()
+        self._values: dict[tuple[int, str], dict[int, int]] = {}
+        self._skipped: set[tuple[int, str]] = set()
 
-    def passed(self, kind: int, name: str) -> None:
-        self._passed.add((kind, name))
+    def mark_skipped(self, kind: int, name: str) -> None:
+        self._skipped.add((kind, name))
 
-    def check(self, kind: int, name: str) -> None:
-        if (kind, name) in self._passed or (kind, "") in self._passed:
+    def check_readable(self, kind: int, name: str) -> None:
+        """Raise ColumnError if the field belongs to a skipped kind or was skipped itself."""
+        if (kind, name) in self._skipped or (kind, "") in self._skipped:
             raise ColumnError(f"{name}: refers to records of a newer program")
 
     def add(self, kind: int, name: str, ids: Sequence[int], values: Sequence[int]) -> None:
-        self._said[kind, name] = dict(zip(ids, values, strict=True))
+        self._values[kind, name] = dict(zip(ids, values, strict=True))
 
-    def predicted(self, kind: int, name: str, ids: Sequence[int]) -> list[int]:
-        self.check(kind, name)
-        said = self._said.get((kind, name), {})
-        return [said.get(i, 0) for i in ids]
+    def values_for(self, kind: int, name: str, ids: Sequence[int]) -> list[int]:
+        self.check_readable(kind, name)
+        known = self._values.get((kind, name), {})
+        return [known.get(i, 0) for i in ids]
 
-    def since(self, kind: int, ids: Sequence[int], at: Sequence[int]) -> list[int]:
-        """The spans from that kind's record to these; nothing where it has none of the request."""
-        self.check(kind, "at")
-        said = self._said.get((kind, "at"), {})
-        return [t - s if (s := said.get(i)) is not None else 0 for i, t in zip(ids, at, strict=True)]
+    def elapsed(self, kind: int, ids: Sequence[int], times: Sequence[int]) -> list[int]:
+        """Return the time since the request's record of that kind, 0 where it has none."""
+        self.check_readable(kind, "at")
+        known = self._values.get((kind, "at"), {})
+        return [t - before if (before := known.get(i)) is not None else 0 for i, t in zip(ids, times, strict=True)]
 
 
 @dataclass(slots=True)
-class _Answers:
-    """A block's records of a kind that tells of hosts, for the columns that repeat what a host said last."""
+class _HostReports:
+    """The records of a kind that reports on hosts, for columns that repeat the last report on a host."""
 
-    where: Sequence[int]  # their places in the block
-    hosts: Sequence[int]
-    rows: Sequence[Record]
+    positions: Sequence[int]  # of the records in the block
+    hosts: Sequence[int]  # their indices in the string table
+    records: Sequence[Record]
 
-    def sets(self, name: str, what: int) -> list[tuple[int, int, float]]:
-        """(place, host, value); a record without a value sets none."""
-        if what == columns.ZERO:
-            return [(p, h, 0) for p, h in zip(self.where, self.hosts, strict=True)]
-        if what not in (columns.TIME, columns.SAME):
-            raise ColumnError(f"{name}: told {what}")
-        field_ = "at" if what == columns.TIME else name
-        values = [getattr(r, field_, None) for r in self.rows]
-        return [(p, h, v) for p, h, v in zip(self.where, self.hosts, values, strict=True) if v is not None]
+    def updates(self, name: str, source: int) -> list[tuple[int, int, float]]:
+        """Return (position in the block, host, value) for each record that has a value."""
+        if source == columns.SOURCE_ZERO:
+            return [(p, h, 0) for p, h in zip(self.positions, self.hosts, strict=True)]
+        if source not in (columns.SOURCE_TIME, columns.SOURCE_SAME_FIELD):
+            raise ColumnError(f"{name}: unknown source {source} of an update")
+        field_name = "at" if source == columns.SOURCE_TIME else name
+        values = [getattr(r, field_name, None) for r in self.records]
+        return [(p, h, v) for p, h, v in zip(self.positions, self.hosts, values, strict=True) if v is not None]
 
 
 @dataclass(slots=True)
-class _Hearing:
-    """For the rows of lists: which answers came before the record that each of them belongs to."""
-
-    linked: _Linked
-    answers: dict[int, _Answers]  # by a kind's number
-    where: Sequence[int]  # the places in the block of the records that hold the lists
-    sizes: Sequence[int]
-    order: Mapping[type[Record], int] = field(default_factory=dict)
-
-    def sets(self, name: str, kind: int, what: int, there: Sequence[bool] | None) -> list[tuple[int, int, float]]:
-        """(row, host, value); rows are counted among those of ``there``."""
-        self.linked.check(kind, name)
-        heard = self.answers.get(kind)
-        if heard is None:
-            raise ColumnError(f"{name}: told by records that are not there")
+class _ListContext:
+    """Finds, for the rows of lists, the host reports that precede the record that a row belongs to."""
+
+    request_values: _RequestValues
+    host_reports: dict[int, _HostReports]  # by the number of their kind
+    positions: Sequence[int]  # in the block, of the records that hold the lists
+    sizes: Sequence[int]  # of the lists
+    kind_numbers: Mapping[type[Record], int] = field(default_factory=dict)
+
+    def updates(
+        self, name: str, kind: int, source: int, present: Sequence[bool] | None
+    ) -> list[tuple[int, int, float]]:
+        """Return (row, host, value), with rows counted among those of ``present``."""
+        self.request_values.check_readable(kind, name)
+        reports = self.host_reports.get(kind)
+        if reports is None:
+            raise ColumnError(f"{name}: updated by records that are missing")
         rows = list(accumulate(self.sizes, initial=0))
-        if there is not None:
-            left = list(accumulate(there, initial=0))
-            rows = [left[row] for row in rows]
-        return [(rows[bisect_left(self.where, place)], host, value) for place, host, value in heard.sets(name, what)]
-
-    def told(self, name: str, there: Sequence[bool] | None) -> columns.Told | None:
-        if name not in TOLD:
+        if present is not None:
+            rows_before = list(accumulate(present, initial=0))
+            rows = [rows_before[row] for row in rows]
+        return [
+            (rows[bisect_left(self.positions, position)], host, value)
+            for position, host, value in reports.updates(name, source)
+        ]
+
+    def column_updates(self, name: str, present: Sequence[bool] | None) -> columns.KeyUpdates | None:
+        """Return the updates that a column may refer to, if there are any."""
+        if name not in UPDATED_BY:
             return None
-        cls, what = TOLD[name]
-        kind = self.order.get(cls)
-        if kind is None or kind not in self.answers:
+        cls, source = UPDATED_BY[name]
+        kind = self.kind_numbers.get(cls)
+        if kind is None or kind not in self.host_reports:
             return None
-        return columns.Told(kind, what, self.sets(name, kind, what, there))
+        return columns.KeyUpdates(kind, source, self.updates(name, kind, source, present))
 
 
 @dataclass(slots=True)
-class _Kind:
-    """The rows of one kind of record while its columns are made or read: their requests and their times."""
-
-    number: int
-    linked: _Linked
-    ids: list[int]
-    at: list[int]
-    order: Mapping[type[Record], int] = field(default_factory=dict)
+class _KindContext:
+    """The requests and times of the rows of one kind, while its columns are encoded or decoded."""
+
+    number: int  # of the kind in the block
+    request_values: _RequestValues
+    ids: list[int]  # indices in the string table
+    times: list[int]
+    kind_numbers: Mapping[type[Record], int] = field(default_factory=dict)
     cls: type[Record] | None = None
-    where: Sequence[int] = ()  # their places in the block
-    answers: dict[int, _Answers] = field(default_factory=dict)
+    positions: Sequence[int] = ()  # of the records in the block
+    host_reports: dict[int, _HostReports] = field(default_factory=dict)
 
-    def hearing(self, sizes: Sequence[int]) -> _Hearing:
-        return _Hearing(self.linked, self.answers, self.where, sizes, self.order)
+    def list_context(self, sizes: Sequence[int]) -> _ListContext:
+        return _ListContext(self.request_values, self.host_reports, self.positions, sizes, self.kind_numbers)
 
-    def of(self, there: Sequence[bool]) -> _Kind:
-        """Only those rows."""
-        return _Kind(
+    def subset(self, present: Sequence[bool]) -> _KindContext:
+        """Return the context of the present rows only."""
+        return _KindContext(
             self.number,
-            self.linked,
-            [i for i, t in zip(self.ids, there, strict=True) if t],
-            [a for a, t in zip(self.at, there, strict=True) if t],
-            self.order,
+            self.request_values,
+            [i for i, p in zip(self.ids, present, strict=True) if p],
+            [t for t, p in zip(self.times, present, strict=True) if p],
+            self.kind_numbers,
             self.cls,
         )
 
-    def predict(self, name: str, kind: int, since: bool) -> list[int]:
-        if since:
-            return self.linked.since(kind, self.ids, self.at)
-        return self.linked.predicted(kind, name, self.ids)
+    def predict(self, name: str, kind: int, elapsed: bool) -> list[int]:
+        if elapsed:
+            return self.request_values.elapsed(kind, self.ids, self.times)
+        return self.request_values.values_for(kind, name, self.ids)
 
-    def link(self, name: str) -> columns.Link | None:
-        if self.cls is None or (self.cls, name) not in LINKS:
+    def prediction(self, name: str) -> columns.Prediction | None:
+        """Return the prediction for a column, if there is one."""
+        if self.cls is None or (self.cls, name) not in PREDICTED_FROM:
             return None
-        cls, since = LINKS[self.cls, name]
-        if cls not in self.order:
+        cls, elapsed = PREDICTED_FROM[self.cls, name]
+        if cls not in self.kind_numbers:
             return None
-        return columns.Link(self.order[cls], since, self.predict(name, self.order[cls], since))
+        return columns.Prediction(self.kind_numbers[cls], elapsed, self.predict(name, self.kind_numbers[cls], elapsed))
 
 
-def _put_column(
+def _encode_column(
     column: Column,
     values: Sequence[Any],
-    texts: _Texts,
+    tables: _StringTables,
     keys: Sequence[int] | None,
-    kind: _Kind | None,
-    hearing: _Hearing | None = None,
+    kind: _KindContext | None,
+    list_context: _ListContext | None = None,
 ) -> bytes:
-    """Presence, then the values that are there."""
-    head = b""
-    there: list[bool] | None = None
+    """Encode which values are present, and then those values."""
+    presence = b""
+    present: list[bool] | None = None
     if column.nullable:
         missing = values.count(None)
         if missing == len(values):
-            return b"\x02"
-        head = b"\x00"
+            return bytes([_NONE_PRESENT])
+        presence = bytes([_ALL_PRESENT])
         if missing:
-            there = [v is not None for v in values]
-            head = b"\x01" + bytes(there)
-            keys = None if keys is None else [k for k, t in zip(keys, there, strict=True) if t]
-            kind = None if kind is None else kind.of(there)
+            present = [v is not None for v in values]
+            presence = bytes([_SOME_PRESENT]) + bytes(present)
+            keys = None if keys is None else [k for k, p in zip(keys, present, strict=True) if p]
+            kind = None if kind is None else kind.subset(present)
             values = [v for v in values if v is not None]
-    told = None if hearing is None else hearing.told(column.name, there)
+    key_updates = None if list_context is None else list_context.column_updates(column.name, present)
     if column.type in (INT, TEXT):
         if column.type == TEXT:
-            values, keys = texts.numbers(column.name, values), None
+            values, keys = tables.indices(column.name, values), None
         else:
-            _check_ints(column.name, values)
+            _check_int_range(column.name, values)
         if kind is None:
-            return head + columns.put_ints(values, keys, told=told)
-        kind.linked.add(kind.number, column.name, kind.ids, values)
-        return head + columns.put_ints(values, keys, kind.link(column.name))
+            return presence + columns.encode_ints(values, keys, key_updates=key_updates)
+        kind.request_values.add(kind.number, column.name, kind.ids, values)
+        return presence + columns.encode_ints(values, keys, kind.prediction(column.name))
     if column.type == FLOAT:
-        return head + columns.put_floats(values, keys, told)
+        return presence + columns.encode_floats(values, keys, key_updates)
     if column.type == FLAG:
-        return head + columns.put_flags(values)
-    assert column.of is not None
+        return presence + columns.encode_flags(values)
+    assert column.item_schema is not None
     sizes = list(map(len, values))
     rows = [item for items in values for item in items]
-    below = kind.hearing(sizes) if kind is not None else None
-    return head + columns.put_ints(sizes) + (_put_rows(column.of, rows, texts, hearing=below) if rows else b"")
+    nested = kind.list_context(sizes) if kind is not None else None
+    return (
+        presence
+        + columns.encode_ints(sizes)
+        + (_encode_rows(column.item_schema, rows, tables, list_context=nested) if rows else b"")
+    )
 
 
-def _put_rows(
-    shape: Shape,
+def _encode_rows(
+    schema: StructSchema,
     rows: Sequence[msgspec.Struct],
-    texts: _Texts,
-    kind: _Kind | None = None,
-    hearing: _Hearing | None = None,
+    tables: _StringTables,
+    kind: _KindContext | None = None,
+    list_context: _ListContext | None = None,
 ) -> bytes:
-    """All columns of one struct. The first of KEYS among them is the key that those after it may refer to."""
-    parts = [varint(len(shape.columns))]
+    """Encode all columns of one struct.
+
+    The first of KEY_COLUMNS in it is the key that the later columns may refer to.
+    """
+    parts = [encode_varint(len(schema.columns))]
     keys: list[int] | None = None
-    # Whole rows to whole columns without a Python step for each field: half of the recorder's cost was here.
-    by_name = dict(zip(shape.cls.__struct_fields__, zip(*map(astuple, rows), strict=True), strict=True))
-    for column in shape.columns:
+    # Transpose all rows at once: a Python step per field was half of the recorder's cost.
+    values_by_name = dict(zip(schema.cls.__struct_fields__, zip(*map(astuple, rows), strict=True), strict=True))
+    for column in schema.columns:
         name = column.name
-        values = by_name[name]
-        body = _put_column(column, values, texts, keys, kind, hearing)
-        if keys is None and name in KEYS and column.type == TEXT and not column.nullable:
-            keys = texts.numbers(name, values)
-        parts += [short_text(name), bytes([column.type, column.nullable]), varint(len(body)), body]
+        values = values_by_name[name]
+        body = _encode_column(column, values, tables, keys, kind, list_context)
+        if keys is None and name in KEY_COLUMNS and column.type == TEXT and not column.nullable:
+            keys = tables.indices(name, values)
+        parts += [encode_short_string(name), bytes([column.type, column.nullable]), encode_varint(len(body)), body]
     return b"".join(parts)
 
 
-def _put_steps(at: Sequence[int], order: bytes, kinds: int) -> list[bytes]:
-    """The time from each record to the next, apart for each kind: a stand follows its answer in microseconds, a
-    request comes whenever it comes, and columns of one law squeeze better than a mixture (by 13%, measured)."""
+def _encode_time_steps(times: Sequence[int], order: bytes, kinds: int) -> list[bytes]:
+    """Encode the time from each record to the next, in one column per kind.
+
+    A stand follows its answer within microseconds, while a request comes at any time: columns of one distribution
+    compress 13% better than a mixture.
+    """
     steps: list[list[int]] = [[] for _ in range(kinds)]
-    for kind, step in zip(order, chain((0,), map(sub, at[1:], at)), strict=True):
+    for kind, step in zip(order, chain((0,), map(sub, times[1:], times)), strict=True):
         steps[kind].append(step)
-    return [columns.put_ints(s) for s in steps]
+    return [columns.encode_ints(s) for s in steps]
 
 
-def _get_steps(cursor: Cursor, order: bytes, kinds: int) -> list[int]:
-    first = cursor.signed()
-    steps = [iter(columns.get_ints(cursor, n)) if (n := order.count(kind)) else iter(()) for kind in range(kinds)]
+def _decode_times(cursor: Cursor, order: bytes, kinds: int) -> list[int]:
+    first = cursor.read_signed()
+    steps = [
+        iter(columns.decode_ints(cursor, count)) if (count := order.count(kind)) else iter(()) for kind in range(kinds)
+    ]
     return list(accumulate(chain((first + next(steps[order[0]]),), (next(steps[kind]) for kind in order[1:]))))
 
 
-def _places(order: bytes, kinds: int) -> list[list[int]]:
-    """The places in the block of each kind's records."""
-    where: list[list[int]] = [[] for _ in range(kinds)]
-    for n, k in enumerate(order):
-        where[k].append(n)
-    return where
+def _positions_by_kind(order: bytes, kinds: int) -> list[list[int]]:
+    """Return the positions of each kind's records in the block."""
+    positions: list[list[int]] = [[] for _ in range(kinds)]
+    for position, kind in enumerate(order):
+        positions[kind].append(position)
+    return positions
 
 
-def _ids(rows: Sequence[Record], texts: _Texts) -> list[int] | None:
-    """The numbers of the requests that these records tell of; None for a kind that tells of none, or not always."""
-    shape = SHAPES[type(rows[0])]
-    if not any(c.name == "id" and not c.nullable for c in shape.columns):
+def _request_numbers(rows: Sequence[Record], tables: _StringTables) -> list[int] | None:
+    """Return the index of each record's request, or None for a kind that need not have one."""
+    schema = SCHEMAS[type(rows[0])]
+    if not any(c.name == "id" and not c.nullable for c in schema.columns):
         return None
-    return texts.numbers("id", [r.id for r in rows])  # type: ignore[attr-defined]
+    return tables.indices("id", [r.id for r in rows])  # type: ignore[attr-defined]
+
 
+def encode(rows: Sequence[Record]) -> bytes:
+    """Encode the uncompressed payload of a block of 1 to MAX_RECORDS records.
 
-def put(rows: Sequence[Record]) -> bytes:
-    """One block's payload, uncompressed. At least one record, at most MOST_RECORDS."""
+    Raises:
+        ColumnError: a value is beyond the range of its column.
+    """
     kinds: dict[type[Record], list[Record]] = {}
     for row in rows:
         kinds.setdefault(type(row), []).append(row)
-    # Always in this order, so that a kind may refer to those before it whatever came first in time.
-    order = {cls: n for n, cls in enumerate(cls for cls in KINDS if cls in kinds)}
-    texts, linked = _Texts(), _Linked()
-    answers: dict[int, _Answers] = {}
-    # In this order: the texts' numbers are given out while the columns are made.
-    body = [bytes([order[type(r)] for r in rows])]
-    at, adj = [r.at for r in rows], [r.adj for r in rows]
-    _check_ints("at", at)
-    _check_ints("adj", adj)
-    src = texts.numbers("src", [r.src for r in rows])
-    body += [signed(at[0]), *_put_steps(at, body[0], len(order)), columns.put_ints(adj), columns.put_ints(src)]
-    where = _places(body[0], len(order))
-    for cls, number in order.items():
-        of_kind = kinds[cls]
-        ids = _ids(of_kind, texts)
+    # The order of KINDS, whatever came first in time: the columns of a kind may refer to the kinds before it.
+    kind_numbers = {cls: n for n, cls in enumerate(cls for cls in KINDS if cls in kinds)}
+    tables, request_values = _StringTables(), _RequestValues()
+    host_reports: dict[int, _HostReports] = {}
+    # The order of the following steps matters: strings get their numbers as the columns are encoded.
+    parts = [bytes([kind_numbers[type(r)] for r in rows])]
+    times, adj = [r.at for r in rows], [r.adj for r in rows]
+    _check_int_range("at", times)
+    _check_int_range("adj", adj)
+    sources = tables.indices("src", [r.src for r in rows])
+    parts += [
+        encode_signed(times[0]),
+        *_encode_time_steps(times, parts[0], len(kind_numbers)),
+        columns.encode_ints(adj),
+        columns.encode_ints(sources),
+    ]
+    positions = _positions_by_kind(parts[0], len(kind_numbers))
+    for cls, number in kind_numbers.items():
+        same_kind = kinds[cls]
+        ids = _request_numbers(same_kind, tables)
         kind = (
             None
             if ids is None
-            else _Kind(number, linked, ids, [r.at for r in of_kind], order, cls, where[number], answers)
+            else _KindContext(
+                number,
+                request_values,
+                ids,
+                [r.at for r in same_kind],
+                kind_numbers,
+                cls,
+                positions[number],
+                host_reports,
+            )
         )
         if kind is not None:
-            linked.add(number, "at", kind.ids, kind.at)
-        made = _put_rows(SHAPES[cls], of_kind, texts, kind=kind)
+            request_values.add(number, "at", kind.ids, kind.times)
+        encoded = _encode_rows(SCHEMAS[cls], same_kind, tables, kind=kind)
         if cls is Probed:
-            hosts = texts.numbers("host", [r.host for r in of_kind])  # type: ignore[attr-defined]
-            answers[number] = _Answers(where[number], hosts, of_kind)
-        body += [short_text(name_of(cls)), bytes([cls.VERSION]), varint(len(of_kind)), varint(len(made)), made]
-    return b"".join([varint(len(rows)), varint(len(kinds)), texts.put(), *body])
+            hosts = tables.indices("host", [r.host for r in same_kind])  # type: ignore[attr-defined]
+            host_reports[number] = _HostReports(positions[number], hosts, same_kind)
+        parts += [
+            encode_short_string(kind_name(cls)),
+            bytes([cls.VERSION]),
+            encode_varint(len(same_kind)),
+            encode_varint(len(encoded)),
+            encoded,
+        ]
+    return b"".join([encode_varint(len(rows)), encode_varint(len(kinds)), tables.encode(), *parts])
 
 
 # Reading.
 
 
-def _texts(cursor: Cursor) -> dict[str, list[str]]:
-    found = {}
-    for _ in range(cursor.count(MOST_COLUMNS)):
-        name = cursor.text()
-        body = Cursor(cursor.take(cursor.count(columns.MOST_TEXT)))
-        found[name] = columns.get_texts(body)
-    return found
+def _decode_string_tables(cursor: Cursor) -> dict[str, list[str]]:
+    tables = {}
+    for _ in range(cursor.read_count(MAX_COLUMNS)):
+        name = cursor.read_string()
+        body = Cursor(cursor.read(cursor.read_count(columns.MAX_STRING_TABLE_BYTES)))
+        tables[name] = columns.decode_strings(body)
+    return tables
 
 
-def _lookup(texts: dict[str, list[str]], name: str, numbers: list[int]) -> list[str]:
-    known = texts.get(name, [])
-    if numbers and not (min(numbers) >= 0 and max(numbers) < len(known)):
-        raise ColumnError(f"{name}: a text that is not in the dictionary")
-    return [known[n] for n in numbers]
+def _lookup_strings(tables: dict[str, list[str]], name: str, numbers: list[int]) -> list[str]:
+    table = tables.get(name, [])
+    if numbers and not (min(numbers) >= 0 and max(numbers) < len(table)):
+        raise ColumnError(f"{name}: an index beyond the string table")
+    return [table[n] for n in numbers]
 
 
-def _get_column(
+def _decode_column(
     cursor: Cursor,
     column: Column,
     count: int,
-    texts: dict[str, list[str]],
-    unknown: Unknown,
+    tables: dict[str, list[str]],
+    unknown: UnknownCounts,
     keys: Sequence[int] | None,
-    kind: _Kind | None,
-    hearing: _Hearing | None = None,
+    kind: _KindContext | None,
+    list_context: _ListContext | None = None,
 ) -> list[Any]:
     present: list[bool] | None = None
     if column.nullable:
-        mark = cursor.byte()
-        if mark == 2:
+        mark = cursor.read_byte()
+        if mark == _NONE_PRESENT:
             return [None] * count
-        if mark == 1:
-            present = columns.get_flags(cursor, count)
+        if mark == _SOME_PRESENT:
+            present = columns.decode_flags(cursor, count)
             keys = None if keys is None else [k for k, p in zip(keys, present, strict=True) if p]
-            kind = None if kind is None else kind.of(present)
+            kind = None if kind is None else kind.subset(present)
             count = sum(present)
-        elif mark != 0:
-            raise ColumnError(f"{column.name}: presence {mark}")
+        elif mark != _ALL_PRESENT:
+            raise ColumnError(f"{column.name}: invalid presence mark {mark}")
     values: list[Any]
-    hear: columns.Hear | None = None
-    if hearing is not None:
-        below = hearing
-        hear = lambda kind, what: below.sets(column.name, kind, what, present)  # noqa: E731
+    lookup_updates: columns.UpdateLookup | None = None
+    if list_context is not None:
+        context = list_context
+        lookup_updates = lambda kind, source: context.updates(column.name, kind, source, present)  # noqa: E731
     if count == 0:
         values = []
     elif column.type in (INT, TEXT):
-        values = _get_ints(cursor, column, count, keys, kind, hear)
+        values = _decode_ints(cursor, column, count, keys, kind, lookup_updates)
         if column.type == TEXT:
-            values = _lookup(texts, column.name, values)
+            values = _lookup_strings(tables, column.name, values)
     elif column.type == FLOAT:
-        values = columns.get_floats(cursor, count, keys, hear)
+        values = columns.decode_floats(cursor, count, keys, lookup_updates)
     elif column.type == FLAG:
-        values = columns.get_flags(cursor, count)
+        values = columns.decode_flags(cursor, count)
     else:
-        assert column.of is not None
-        values = _get_lists(cursor, column.of, columns.get_sizes(cursor, count), texts, unknown, kind)
+        assert column.item_schema is not None
+        values = _decode_lists(cursor, column.item_schema, columns.decode_sizes(cursor, count), tables, unknown, kind)
     if present is None:
         return values
-    there = iter(values)
-    return [next(there) if p else None for p in present]
+    remaining = iter(values)
+    return [next(remaining) if p else None for p in present]
 
 
-def _get_ints(
+def _decode_ints(
     cursor: Cursor,
     column: Column,
     count: int,
     keys: Sequence[int] | None,
-    kind: _Kind | None,
-    hear: columns.Hear | None = None,
+    kind: _KindContext | None,
+    lookup_updates: columns.UpdateLookup | None = None,
 ) -> list[int]:
     if kind is None:
-        return columns.get_ints(cursor, count, keys if column.type == INT else None, hear=hear)
-    values = columns.get_ints(cursor, count, keys, lambda of, since: kind.predict(column.name, of, since))
-    kind.linked.add(kind.number, column.name, kind.ids, values)
+        return columns.decode_ints(cursor, count, keys if column.type == INT else None, lookup_updates=lookup_updates)
+    values = columns.decode_ints(
+        cursor, count, keys, lambda source_kind, elapsed: kind.predict(column.name, source_kind, elapsed)
+    )
+    kind.request_values.add(kind.number, column.name, kind.ids, values)
     return values
 
 
-def _get_lists(
-    cursor: Cursor, shape: Shape, sizes: list[int], texts: dict[str, list[str]], unknown: Unknown, kind: _Kind | None
+def _decode_lists(
+    cursor: Cursor,
+    schema: StructSchema,
+    sizes: list[int],
+    tables: dict[str, list[str]],
+    unknown: UnknownCounts,
+    kind: _KindContext | None,
 ) -> list[list[Any]]:
     total = sum(sizes)
-    below = None if kind is None else kind.hearing(sizes)
-    rows = _get_rows(cursor, shape, total, texts, unknown, hearing=below) if total else []
-    at, made = 0, []
+    nested = None if kind is None else kind.list_context(sizes)
+    rows = _decode_rows(cursor, schema, total, tables, unknown, list_context=nested) if total else []
+    start, lists = 0, []
     for size in sizes:
-        made.append(rows[at : at + size])
-        at += size
-    return made
+        lists.append(rows[start : start + size])
+        start += size
+    return lists
 
 
-def _get_rows(
+def _decode_rows(
     cursor: Cursor,
-    shape: Shape,
+    schema: StructSchema,
     count: int,
-    texts: dict[str, list[str]],
-    unknown: Unknown,
-    kind: _Kind | None = None,
-    hearing: _Hearing | None = None,
+    tables: dict[str, list[str]],
+    unknown: UnknownCounts,
+    kind: _KindContext | None = None,
+    list_context: _ListContext | None = None,
     **common: list[Any],
 ) -> list[Any]:
-    """The structs whose columns come next. A column that this program knows under another type is passed over
-    like one that it does not know, and takes its default where it has one."""
-    wanted = {c.name: c for c in shape.columns}
+    """Decode the structs whose columns come next.
+
+    A column whose type differs from the one that this program knows is skipped like an unknown one; its field takes the
+    default value if it has one.
+    """
+    known_columns = {c.name: c for c in schema.columns}
     found: dict[str, list[Any]] = {}
     keys: list[int] | None = None
-    for n in range(cursor.count(MOST_COLUMNS)):
-        name, type_, nullable = cursor.text(), cursor.byte(), cursor.byte()
-        body = Cursor(cursor.take(cursor.count(1 << 24)))
-        column = wanted.get(name)
+    for n in range(cursor.read_count(MAX_COLUMNS)):
+        name, type_, nullable = cursor.read_string(), cursor.read_byte(), cursor.read_byte()
+        body = Cursor(cursor.read(cursor.read_count(MAX_COLUMN_BYTES)))
+        column = known_columns.get(name)
         if column is None or column.type != type_ or nullable > column.nullable:
-            unknown.add(f"{shape.cls.__name__}.{name}", count)
+            unknown.add(f"{schema.cls.__name__}.{name}", count)
             if kind is not None:
-                kind.linked.passed(kind.number, name)
+                kind.request_values.mark_skipped(kind.number, name)
             continue
-        plain = column if column.nullable == bool(nullable) else Column(name, type_, False, column.of)
-        linked = kind if kind and kind.ids else None
+        stored_column = column if column.nullable == bool(nullable) else Column(name, type_, False, column.item_schema)
+        kind_with_ids = kind if kind and kind.ids else None
         if type_ == TEXT and not nullable and count:
-            numbers = _get_ints(body, plain, count, None, linked)
-            found[name] = _lookup(texts, name, numbers)
+            numbers = _decode_ints(body, stored_column, count, None, kind_with_ids)
+            found[name] = _lookup_strings(tables, name, numbers)
             if kind is not None and name == "id" and n == 0:
-                # The first column: whose requests these are, for what the others refer to.
+                # The first column tells which requests the rows belong to; predictions for the others need it.
                 kind.ids = numbers
-                kind.linked.add(kind.number, "at", kind.ids, kind.at)
-            if keys is None and name in KEYS:
+                kind.request_values.add(kind.number, "at", kind.ids, kind.times)
+            if keys is None and name in KEY_COLUMNS:
                 keys = numbers
         else:
-            found[name] = _get_column(body, plain, count, texts, unknown, keys, linked, hearing)
-        if body.at != body.end:
-            raise ColumnError(f"{name}: {body.end - body.at} bytes too many")
-    made: list[Any] = []
-    cls: Callable[..., Any] = shape.cls
+            found[name] = _decode_column(body, stored_column, count, tables, unknown, keys, kind_with_ids, list_context)
+        if body.position != body.end:
+            raise ColumnError(f"{name}: {body.end - body.position} unread bytes")
+    structs: list[Any] = []
+    cls: Callable[..., Any] = schema.cls
     try:
-        if len(found) == len(wanted) and list(found) == list(wanted):
+        if len(found) == len(known_columns) and list(found) == list(known_columns):
             if common:
-                made = [
+                structs = [
                     cls(*row, at=at, adj=adj, src=src)
                     for row, at, adj, src in zip(
                         zip(*found.values(), strict=True), common["at"], common["adj"], common["src"], strict=True
                     )
                 ]
             else:
-                made = [cls(*row) for row in zip(*found.values(), strict=True)]
+                structs = [cls(*row) for row in zip(*found.values(), strict=True)]
         else:
-            both = {**found, **common}
-            made = [cls(**dict(zip(both, row, strict=True))) for row in zip(*both.values(), strict=True)]
-    except TypeError as error:  # a field without a default is not there
-        raise ColumnError(f"{shape.cls.__name__}: {error}") from None
-    return made
+            all_columns = {**found, **common}
+            structs = [
+                cls(**dict(zip(all_columns, row, strict=True))) for row in zip(*all_columns.values(), strict=True)
+            ]
+    except TypeError as error:  # a field without a default is missing
+        raise ColumnError(f"{schema.cls.__name__}: {error}") from None
+    return structs
 
 
-def texts_of(raw: bytes) -> dict[str, list[str]]:
-    """The dictionaries alone: enough to tell whether a block holds an id or a host at all."""
+def read_string_tables(raw: bytes) -> dict[str, list[str]]:
+    """Decode the string tables only: enough to tell whether a block mentions an id or a host."""
     cursor = Cursor(raw)
-    cursor.count(MOST_RECORDS)
-    cursor.count(MOST_KINDS)
-    return _texts(cursor)
+    cursor.read_count(MAX_RECORDS)
+    cursor.read_count(MAX_KINDS)
+    return _decode_string_tables(cursor)
+
 
+def decode(raw: bytes, unknown: UnknownCounts) -> list[Record]:
+    """Decode the records of a payload, in the order in which they were written.
 
-def get(raw: bytes, unknown: Unknown) -> list[Record]:
-    """The records of a payload, in the order in which they were written. ColumnError where it is none."""
+    Raises:
+        ColumnError: the bytes are not a valid payload.
+    """
     cursor = Cursor(raw)
-    count, kinds = cursor.count(MOST_RECORDS), cursor.count(MOST_KINDS)
+    count, kinds = cursor.read_count(MAX_RECORDS), cursor.read_count(MAX_KINDS)
     if count == 0:
-        raise ColumnError("a block without records")
-    texts = _texts(cursor)
-    order = bytes(cursor.take(count))
+        raise ColumnError("the block has no records")
+    tables = _decode_string_tables(cursor)
+    order = bytes(cursor.read(count))
     if max(order) >= kinds:
-        raise ColumnError("a record of no kind")
-    at, adj = _get_steps(cursor, order, kinds), columns.get_ints(cursor, count)
-    src = _lookup(texts, "src", columns.get_ints(cursor, count))
-    made: list[Iterator[Record] | None] = []
-    linked = _Linked()
-    where = _places(order, kinds)
-    answers: dict[int, _Answers] = {}
+        raise ColumnError("a record has an unknown kind number")
+    all_times, all_adjustments = _decode_times(cursor, order, kinds), columns.decode_ints(cursor, count)
+    all_sources = _lookup_strings(tables, "src", columns.decode_ints(cursor, count))
+    iterators: list[Iterator[Record] | None] = []
+    request_values = _RequestValues()
+    positions = _positions_by_kind(order, kinds)
+    host_reports: dict[int, _HostReports] = {}
     for number in range(kinds):
-        name, _version, of_kind = cursor.text(), cursor.byte(), cursor.count(MOST_RECORDS)
-        body = Cursor(cursor.take(cursor.count(1 << 24)))
-        mine = where[number]
-        if len(mine) != of_kind:
-            raise ColumnError(f"{name}: {of_kind} records told, {len(mine)} there")
-        cls = BY_NAME.get(name)
+        name, _version, record_count = cursor.read_string(), cursor.read_byte(), cursor.read_count(MAX_RECORDS)
+        body = Cursor(cursor.read(cursor.read_count(MAX_COLUMN_BYTES)))
+        own_positions = positions[number]
+        if len(own_positions) != record_count:
+            raise ColumnError(f"{name}: {record_count} records declared, {len(own_positions)} found")
+        cls = TYPES_BY_KIND.get(name)
         if cls is None or _version > cls.VERSION:
-            unknown.add(name, of_kind)
-            linked.passed(number, "")
-            made.append(None)
+            unknown.add(name, record_count)
+            request_values.mark_skipped(number, "")
+            iterators.append(None)
             continue
-        times = [at[n] for n in mine]
-        of_these = _get_rows(
+        times = [all_times[n] for n in own_positions]
+        decoded = _decode_rows(
             body,
-            SHAPES[cls],
-            of_kind,
-            texts,
+            SCHEMAS[cls],
+            record_count,
+            tables,
             unknown,
-            kind=_Kind(number, linked, [], times, where=mine, answers=answers),
+            kind=_KindContext(number, request_values, [], times, positions=own_positions, host_reports=host_reports),
             at=times,
-            adj=[adj[n] for n in mine],
-            src=[src[n] for n in mine],
+            adj=[all_adjustments[n] for n in own_positions],
+            src=[all_sources[n] for n in own_positions],
         )
-        if cls is Probed and of_these:
-            numbers = {text: n for n, text in enumerate(texts.get("host", []))}
-            answers[number] = _Answers(mine, [numbers[r.host] for r in of_these], of_these)
-        made.append(iter(of_these))
-    if cursor.at != cursor.end:
-        raise ColumnError(f"{cursor.end - cursor.at} bytes too many")
-    return [next(rows) for kind in order if (rows := made[kind]) is not None]
+        if cls is Probed and decoded:
+            numbers = {text: n for n, text in enumerate(tables.get("host", []))}
+            host_reports[number] = _HostReports(own_positions, [numbers[r.host] for r in decoded], decoded)
+        iterators.append(iter(decoded))
+    if cursor.position != cursor.end:
+        raise ColumnError(f"{cursor.end - cursor.position} unread bytes")
+    return [next(rows) for kind in order if (rows := iterators[kind]) is not None]
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -1,8 +1,8 @@
-"""The recorder in the daemon: a bounded queue, and one thread that writes what is in it.
+"""The recorder of the daemon: a bounded queue, and one thread that writes it to trace files.
 
-Guarantees: no method that a request calls waits, touches a file or raises; what is flushed is in the file before the
-next flush begins, so a killed program loses at most the last ``flush`` span (and what sampling holds); a folder that
-fails costs records, which are counted and told in the trace, and recording resumes by itself.
+No method that is called in the request path blocks, accesses a file or raises. Each flush is in the file before the
+next one begins, so a killed program loses at most the records of the last flush interval and those that the sampler
+holds. A folder that fails costs records, which are counted and reported in the trace; recording resumes by itself.
 """
 
 from __future__ import annotations
@@ -23,39 +23,42 @@
 from bramblestile.memory.counters import Counters
 from bramblestile.trace import frames, records
 from bramblestile.trace.files import Writer
-from bramblestile.trace.intake import BUFFER, DISK, HELD, Losses, Pace
-from bramblestile.trace.keeping import Limits, Stored, file_name, is_due, to_remove
+from bramblestile.trace.losses import BUFFER, DISK, HELD, LossCounter, RetryBackoff
 from bramblestile.trace.records import Record
+from bramblestile.trace.retention import RetentionLimits, StoredFile, file_name, files_to_remove, rotation_due
 from bramblestile.trace.sampling import Sampler
 from bramblestile.tracing import Tracer
 from vanegw import interface as api
 from vanegw.recording import DecisionSnapshot, round_to_fraction
 
-LEVEL = 1  # zstandard's: the daemon's core has better to do
-BLOCK = 4096  # records of one block: encoding one holds the interpreter for some 3 ms at a time
-STOP_WITHIN = timedelta(milliseconds=300)  # of the 600 ms between the last move and SIGKILL
+ZSTD_LEVEL = 1  # the daemon's CPU time is needed for requests
+BLOCK_RECORDS = 4096  # encoding one block holds the interpreter lock for about 3 ms
+STOP_TIMEOUT = timedelta(milliseconds=300)  # 600 ms remain between the last move and SIGKILL
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """What an operator's file says of tracing. ``keep``: the sampler's shares, by class."""
+class RecorderConfig:
+    """The settings of the recorder. ``keep_shares`` is the share of requests to keep, by class."""
 
     directory: Path
     instance: str
     hall: str
-    flush: timedelta = timedelta(seconds=1)
-    buffer: int = 8192
-    limits: Limits = field(default_factory=Limits)
-    keep: Mapping[str, float] = field(default_factory=dict)
+    flush_interval: timedelta = timedelta(seconds=1)
+    buffer_size: int = 8192
+    limits: RetentionLimits = field(default_factory=RetentionLimits)
+    keep_shares: Mapping[str, float] = field(default_factory=dict)
 
 
 def open_file(path: Path) -> BinaryIO:
-    """Unbuffered: what ``write`` has taken survives the program."""
+    """Open a new file without a buffer: what ``write`` has accepted survives a crash of the program."""
     return open(path, "xb", buffering=0)
 
 
-class _Whole:
-    """A raw file whose writes are whole or raise: a raw file may take a part and say so only by its count."""
+class _FullWriteFile:
+    """A raw file whose ``write`` writes everything or raises.
+
+    A raw file may write only a part and report that only in its return value.
+    """
 
     def __init__(self, file: BinaryIO) -> None:
         self.file = file
@@ -63,24 +66,25 @@
     def write(self, data: bytes) -> int:
         view = memoryview(data)
         while view:
-            taken = self.file.write(view)
-            if not taken:
-                raise OSError("the file takes nothing")
-            view = view[taken:]
+            written = self.file.write(view)
+            if not written:
+                raise OSError("the file accepts no more bytes")
+            view = view[written:]
         return len(data)
 
 
-class Shaper(Tracer):
-    """Makes a record of each thing that it is told; where the record goes is its maker's choice."""
+class RecordBuilder(Tracer):
+    """Builds a record for each event and passes it to ``emit``."""
 
     watching = True
     belief = records.Candidate
 
-    def __init__(self, put: Callable[[Record], None]) -> None:
-        self._put = put
+    def __init__(self, emit: Callable[[Record], None]) -> None:
+        self._emit = emit
 
     def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None:
-        self._put(
+        """Record the arrival of a request."""
+        self._emit(
             records.Request(
                 request.id,
                 front,
@@ -98,7 +102,8 @@
         )
 
     def decision(self, at: timedelta, view: DecisionSnapshot) -> None:
-        self._put(
+        """Record a decision with its candidates."""
+        self._emit(
             records.Decision(
                 view.id,
                 view.decision,
@@ -115,22 +120,24 @@
         )
 
     def probe_sent(self, at: timedelta, front: str, host: str) -> None:
-        self._put(records.ProbeSent(host, front, at=at // MICROSECOND))
+        """Record that a probe was sent."""
+        self._emit(records.ProbeSent(host, front, at=at // MICROSECOND))
 
     def probed(self, at: timedelta, front: str, result: api.ProbeResult) -> None:
-        said = result.report or api.Report()
-        self._put(
+        """Record the result of a probe."""
+        report = result.report or api.Report()
+        self._emit(
             records.Probed(
                 result.backend,
                 result.status.name.lower(),
                 result.took_us,
                 front,
-                said.load,
-                said.utilisation,
-                said.queue,
-                said.inflight,
-                said.backlog_s,
-                said.latency_ms,
+                report.load,
+                report.utilisation,
+                report.queue,
+                report.inflight,
+                report.backlog_s,
+                report.latency_ms,
                 at=at // MICROSECOND,
             )
         )
@@ -138,7 +145,8 @@
     def attempt(
         self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
     ) -> None:
-        self._put(records.Attempt(id, number, host, status, took_us, detail or None, at=at // MICROSECOND))
+        """Record the end of an upstream request."""
+        self._emit(records.Attempt(id, number, host, status, took_us, detail or None, at=at // MICROSECOND))
 
     def answer(
         self,
@@ -150,7 +158,8 @@
         host: str | None = None,
         wait_us: int | None = None,
     ) -> None:
-        self._put(
+        """Record the final answer to a request."""
+        self._emit(
             records.Answer(
                 request.id,
                 outcome,
@@ -165,23 +174,28 @@
         )
 
     def stand(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
-        self._put(records.Stand(id, host, resumed, at=at // MICROSECOND))
+        """Record that a connection is established."""
+        self._emit(records.Stand(id, host, resumed, at=at // MICROSECOND))
 
     def note(self, at: timedelta, note: api.Note) -> None:
-        self._put(
+        """Record a note on an established connection."""
+        self._emit(
             records.Note(
                 note.id, note.backend, note.kind.name.lower(), round_to_fraction(note.value, 1000), at=at // MICROSECOND
             )
         )
 
     def moved(self, at: timedelta, id: str, host: str, reason: str) -> None:
-        self._put(records.Moved(id, host, reason, at=at // MICROSECOND))
+        """Record that an established connection was told to move."""
+        self._emit(records.Moved(id, host, reason, at=at // MICROSECOND))
 
     def ended(self, at: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
-        self._put(records.Ended(id, host, status, took // MICROSECOND, moved, at=at // MICROSECOND))
+        """Record the end of an established connection."""
+        self._emit(records.Ended(id, host, status, took // MICROSECOND, moved, at=at // MICROSECOND))
 
     def listed(self, at: timedelta, front: str, event: api.BackendList) -> None:
-        self._put(
+        """Record a host list."""
+        self._emit(
             records.Listed(
                 front,
                 event.mode.value,
@@ -191,178 +205,188 @@
         )
 
     def started(self, at: timedelta, hall: str, fronts: Sequence[str]) -> None:
-        self._put(records.Started(hall, __version__, ",".join(fronts), at=at // MICROSECOND))
+        """Record the start of the program."""
+        self._emit(records.Started(hall, __version__, ",".join(fronts), at=at // MICROSECOND))
 
     def stopped(self, at: timedelta, standing: int) -> None:
-        self._put(records.Stopped(standing, at=at // MICROSECOND))
+        """Record the stop of the program."""
+        self._emit(records.Stopped(standing, at=at // MICROSECOND))
 
     def reloaded(self, at: timedelta, taken: bool, text: str) -> None:
-        self._put(records.Reloaded(taken, text, at=at // MICROSECOND))
+        """Record a reload of the configuration."""
+        self._emit(records.Reloaded(taken, text, at=at // MICROSECOND))
+
 
+class Recorder(RecordBuilder):
+    """Queues records, and writes them to rotating files in a thread of its own."""
 
-class Recorder(Shaper):
     def __init__(
         self,
-        plan: Plan,
+        config: RecorderConfig,
         counters: Counters,
         open_: Callable[[Path], BinaryIO] = open_file,
         clock: Callable[[], timedelta] = now,
     ) -> None:
-        super().__init__(self._take)
-        self.plan = plan
-        self.losses = Losses()
-        self.sampler = Sampler(plan.keep)
+        super().__init__(self._enqueue)
+        self.config = config
+        self.losses = LossCounter()
+        self.sampler = Sampler(config.keep_shares)
         self._counters = counters
         self._open = open_
         self._clock = clock
         self._log = Log(part="trace")
-        self._pace = Pace()
+        self._backoff = RetryBackoff()
         self._queue: deque[Record] = deque()
-        self._most = plan.buffer
+        self._max_queued = config.buffer_size
         self._wake = threading.Event()
         self._stopping = False
         self._thread: threading.Thread | None = None
         self._file: BinaryIO | None = None
         self._writer: Writer | None = None
         self._name: str | None = None
-        self._opened = timedelta(0)
-        self._counted = 0  # losses that the counters have heard of
-        self._sound = 0  # bytes of the open file that are whole blocks
+        self._opened_at = timedelta(0)
+        self._reported_losses = 0  # losses already added to the counters
+        self._valid_bytes = 0  # size of the open file up to the end of its last whole block
 
-    # Called on the way of a request, by way of the methods above.
+    # Called in the request path, through the methods of RecordBuilder.
 
-    def _take(self, record: Record) -> None:
+    def _enqueue(self, record: Record) -> None:
         queue = self._queue
-        # Several threads may pass the test together: the queue is over its bound by their number at most.
-        waiting, most = len(queue), self._most
-        if waiting >= most:
+        # Several threads may pass this check at once; the queue then exceeds its limit by at most their number.
+        queued, limit = len(queue), self._max_queued
+        if queued >= limit:
             self.losses.add(BUFFER, 1, record.at)
             self._wake.set()
             return
         queue.append(record)
-        if waiting == most // 2:
+        if queued == limit // 2:
             self._wake.set()
 
     def logged(self, level: str, event: str, text: str, fields: dict[str, Any]) -> None:
-        """A sink of the log's."""
-        if fields.get("part") != "trace":  # our own troubles must not feed themselves
+        """Record a log line; called as a sink of the log."""
+        if fields.get("part") != "trace":  # a failure to write must not produce more records
             id_ = fields.get("id")
-            self._put(
+            self._emit(
                 records.Logged(level, event, text, None if id_ is None else str(id_), at=self._clock() // MICROSECOND)
             )
 
-    # The writer's thread.
+    # The writer thread.
 
     def start(self) -> None:
+        """Start the writer thread and subscribe to the log."""
         add_sink(self.logged)
         self._thread = threading.Thread(target=self._run, name="trace", daemon=True)
         self._thread.start()
 
-    def stop(self, within: timedelta = STOP_WITHIN) -> None:
-        """Writes what is there and closes the file, in bounded time: a folder that hangs must hold up no exit."""
+    def stop(self, timeout: timedelta = STOP_TIMEOUT) -> None:
+        """Write the remaining records and close the file, within ``timeout`` even if the folder hangs."""
         remove_sink(self.logged)
         self._stopping = True
         self._wake.set()
         if self._thread is not None:
-            self._thread.join(within.total_seconds())
+            self._thread.join(timeout.total_seconds())
 
     def _run(self) -> None:
         while not self._stopping:
-            self._wake.wait(self.plan.flush.total_seconds())
+            self._wake.wait(self.config.flush_interval.total_seconds())
             self._wake.clear()
             self.flush()
         self.flush(last=True)
-        self._close()
+        self._close_file()
 
     def flush(self, last: bool = False) -> None:
-        """Writes what the queue holds now. Called by the writer's thread (and by tests, which start none)."""
+        """Write what the queue holds now; called by the writer thread, or by tests that run none."""
         at = self._clock()
-        self._counters.add("trace_lost", self.losses.total - self._counted)
-        self._counted = self.losses.total
-        taken = [self._queue.popleft() for _ in range(len(self._queue))]
-        rows = taken
-        if self.plan.keep:
-            rows = [kept for record in taken for kept in self.sampler.offer(record)]
+        self._counters.add("trace_lost", self.losses.total - self._reported_losses)
+        self._reported_losses = self.losses.total
+        queued = [self._queue.popleft() for _ in range(len(self._queue))]
+        batch = queued
+        if self.config.keep_shares:
+            batch = [due for record in queued for due in self.sampler.offer(record)]
         if last:
-            rows += self.sampler.rest()
-        self.losses.add(HELD, self.sampler.given_up, at // MICROSECOND)
-        self.sampler.given_up = 0
-        if not rows:
+            batch += self.sampler.flush()
+        self.losses.add(HELD, self.sampler.evicted, at // MICROSECOND)
+        self.sampler.evicted = 0
+        if not batch:
             return
-        if not self._pace.may_try(at):
-            self.losses.add(DISK, len(rows), rows[0].at)
+        if not self._backoff.may_retry(at):
+            self.losses.add(DISK, len(batch), batch[0].at)
             return
-        for start in range(0, len(rows), BLOCK):
-            if not self._write(rows[start : start + BLOCK], at):
-                self.losses.add(DISK, len(rows) - start, rows[start].at)
+        for start in range(0, len(batch), BLOCK_RECORDS):
+            if not self._write(batch[start : start + BLOCK_RECORDS], at):
+                self.losses.add(DISK, len(batch) - start, batch[start].at)
                 return
-        self._pace.succeeded()
+        self._backoff.record_success()
 
-    def _write(self, rows: list[Record], at: timedelta) -> bool:
-        told = self.losses.take(at // MICROSECOND)
-        rows = [*told, *rows]
-        for record in rows:
-            record.src = self.plan.instance
+    def _write(self, batch: list[Record], at: timedelta) -> bool:
+        lost = self.losses.drain(at // MICROSECOND)
+        batch = [*lost, *batch]
+        for record in batch:
+            record.src = self.config.instance
         try:
-            writer = self._ready(at)
-            writer.write(rows)
+            writer = self._open_writer(at)
+            writer.write_block(batch)
         except Exception as error:
-            # Whatever it is, a record that cannot be encoded included: the program serves on without its trace.
+            # Whatever failed, including the encoding of a record, the program continues to serve without its trace.
             self._counters.add("trace_failed")
-            self._log.seldom("trace not written", directory=self.plan.directory, error=repr(error))
-            self._pace.failed(at)
-            self._give_up()
-            self.losses.put_back(told)
+            self._log.seldom("trace not written", directory=self.config.directory, error=repr(error))
+            self._backoff.record_failure(at)
+            self._truncate_file()
+            self.losses.restore(lost)
             return False
-        self._sound = writer.bytes
-        self._counters.add("trace_records", len(rows))
+        self._valid_bytes = writer.bytes_written
+        self._counters.add("trace_records", len(batch))
         return True
 
-    def _ready(self, at: timedelta) -> Writer:
-        if self._writer is not None and is_due(self.plan.limits, self._writer.bytes, self._opened, at):
-            self._close()
+    def _open_writer(self, at: timedelta) -> Writer:
+        if self._writer is not None and rotation_due(
+            self.config.limits, self._writer.bytes_written, self._opened_at, at
+        ):
+            self._close_file()
         if self._writer is None:
-            self._name = file_name(self.plan.instance, at)
-            self._make_room()
-            self._file = self._open(self.plan.directory / self._name)
-            self._sound = 0
+            self._name = file_name(self.config.instance, at)
+            self._remove_old_files()
+            self._file = self._open(self.config.directory / self._name)
+            self._valid_bytes = 0
             self._writer = Writer(
-                _Whole(self._file),
+                _FullWriteFile(self._file),
                 {
-                    "instance": self.plan.instance,
-                    "hall": self.plan.hall,
+                    "instance": self.config.instance,
+                    "hall": self.config.hall,
                     "program": __version__,
                     "opened_us": at // MICROSECOND,
-                    "flush_us": self.plan.flush // MICROSECOND,
-                    "keep": dict(self.plan.keep),
+                    "flush_us": self.config.flush_interval // MICROSECOND,
+                    "keep": dict(self.config.keep_shares),
                 },
-                LEVEL,
-                BLOCK,
+                ZSTD_LEVEL,
+                BLOCK_RECORDS,
                 frames.ROWS,
             )
-            self._opened = at
+            self._opened_at = at
         return self._writer
 
-    def _make_room(self) -> None:
-        with os.scandir(self.plan.directory) as entries:
-            files = [Stored(e.name, e.stat().st_size) for e in entries if e.is_file(follow_symlinks=False)]
-        for name in to_remove(self.plan.limits, self.plan.instance, files, self._name):
+    def _remove_old_files(self) -> None:
+        with os.scandir(self.config.directory) as entries:
+            files = [StoredFile(e.name, e.stat().st_size) for e in entries if e.is_file(follow_symlinks=False)]
+        for name in files_to_remove(self.config.limits, self.config.instance, files, self._name):
             with suppress(FileNotFoundError):
-                (self.plan.directory / name).unlink()
+                (self.config.directory / name).unlink()
             self._counters.add("trace_files_removed")
 
-    def _give_up(self) -> None:
-        """After a failed write the file ends with its last whole block; one without a block goes. A disk that is full
-        for days must not fill with empty files."""
+    def _truncate_file(self) -> None:
+        """After a failed write, cut the file after its last whole block, or remove it if it has none.
+
+        Otherwise a disk that is full for days would fill up with empty files.
+        """
         if self._file is not None and self._name is not None:
             with suppress(Exception):
-                if self._sound:
-                    self._file.truncate(self._sound)
+                if self._valid_bytes:
+                    self._file.truncate(self._valid_bytes)
                 else:
-                    (self.plan.directory / self._name).unlink()
-        self._close()
+                    (self.config.directory / self._name).unlink()
+        self._close_file()
 
-    def _close(self) -> None:
+    def _close_file(self) -> None:
         if self._file is not None:
             with suppress(OSError):
                 self._file.close()
--- a/bramblestile/trace/records.py
+++ b/bramblestile/trace/records.py
@@ -1,9 +1,10 @@
-"""What a trace holds: one typed record for each thing that happened to a request, a host or the program.
+"""The records of a trace: one typed record for each event of a request, a host or the program.
 
-Times (``at``) are integer microseconds since the Unix epoch by the clock of the instance that wrote the record;
-``adj`` is what a merge has added to bring that clock onto the common one, so ``at + adj`` is the corrected time
-and ``at`` is never rewritten. Spans end in ``_us``. A class's ``VERSION`` rises when a field's *meaning* changes;
-a field that is added needs no new version (docs/trace-format.md, Versions).
+Class names, tags, field names and their order are the file format. ``at`` is in microseconds since the Unix epoch, by
+the clock of the instance that wrote the record. ``adj`` is the correction that a merge has added to bring that clock
+to the common one: the corrected time is ``at + adj``, and ``at`` is never rewritten. Durations end in ``_us``. A
+class's ``VERSION`` is raised when the meaning of a field changes; a new field needs no new version
+(docs/trace-format.md, Versions).
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 import msgspec
 
-INT_LEAST, INT_MOST = -(1 << 63), (1 << 64) - 1  # what a column of whole numbers can hold
+MIN_INT, MAX_INT = -(1 << 63), (1 << 64) - 1  # the range of an integer column
 
 
 class Record(msgspec.Struct, kw_only=True, omit_defaults=True, tag_field="kind", gc=False):
-    """What all records have. ``src`` is the instance that saw it."""
+    """The fields of all records. ``src`` is the instance that wrote the record."""
 
     VERSION: ClassVar[int] = 1
     at: int
@@ -25,7 +26,7 @@
 
 
 class Started(Record, tag="started"):
-    """The program began to serve."""
+    """The program started to serve."""
 
     hall: str = ""
     version: str = ""
@@ -33,13 +34,19 @@
 
 
 class Stopped(Record, tag="stopped"):
-    """The program stopped in order. A trace of an instance that ends without it was cut off."""
+    """The program stopped in an orderly way, with ``standing`` connections still open.
+
+    An instance's trace that ends without this record was cut off.
+    """
 
     standing: int = 0
 
 
 class Reloaded(Record, tag="reloaded"):
-    """The configuration was read again. ``taken`` False: it was faulty, and ``text`` names the key."""
+    """The configuration was read again.
+
+    ``taken`` is False if it was faulty; then ``text`` names the key.
+    """
 
     taken: bool = True
     text: str = ""
@@ -55,7 +62,11 @@
 
 
 class Request(Record, tag="request"):
-    """A request arrived. ``key`` and ``group`` are up to 64 bits in hexadecimal, as on the wire."""
+    """A request arrived.
+
+    ``key`` and ``group`` are up to 64 bits in hexadecimal, as on the wire. ``bound_to`` is the host that held the
+    connection before this program started.
+    """
 
     id: str
     front: str
@@ -71,14 +82,14 @@
 
 
 class ProbeSent(Record, tag="probe_sent"):
-    """A host was asked for its load."""
+    """A probe was sent to a host."""
 
     host: str
     front: str = ""
 
 
 class Probed(Record, tag="probed"):
-    """How a probe ended, with the report that came (a figure that was not reported is None)."""
+    """The result of a probe, with the host's report; a figure that was not reported is None."""
 
     host: str
     status: str
@@ -93,9 +104,12 @@
 
 
 class Candidate(msgspec.Struct, omit_defaults=True, gc=False):
-    """What the balancer believed of one host when it decided. ``load``: the last figure reported, at
-    ``load_at`` (0: never); ``believed``: that figure aged, with own placements since and the backlog;
-    ``weight``: what the draw went by, None where the host took no part in it; ``warmth``: under 1 it is cold."""
+    """The balancer's view of one host at a decision.
+
+    ``load`` is the last reported figure and ``load_at`` its time (0: never); ``believed`` is that figure aged, plus the
+    backlog and this balancer's own placements since then (``placed`` counts them). ``weight`` is the weight in the
+    random draw, None if the host took no part in it. ``warmth`` below 1 means slow start.
+    """
 
     host: str
     weight: float | None = None
@@ -106,14 +120,17 @@
     warmth: float = 1.0
     masked: bool = False
     draining: bool = False
-    asked: bool = False  # a probe was out that it had not answered
+    asked: bool = False  # a probe was pending
     tried: bool = False
 
 
 class Decision(Record, tag="decision"):
-    """The module's choice. ``what``: attempt, refuse or fail; ``why``: first, again (the client's retry),
-    return (it was moved or cut), retry (an attempt before this one failed). ``average`` is the fleet's load and
-    ``lateness`` the share of late attempts that the module went by."""
+    """A decision of the balancing module.
+
+    ``what`` is attempt, refuse or fail. ``why`` is first, again (the client retries), return (the client comes back
+    after a move or a cut) or retry (an earlier attempt failed). ``average`` is the load of the fleet and ``lateness``
+    the share of late attempts, as the module used them.
+    """
 
     id: str
     what: str
@@ -128,8 +145,11 @@
 
 
 class Attempt(Record, tag="attempt"):
-    """An upstream request's end; ``status`` "up" is a connection that stands from now on. ``detail``: what the status
-    does not tell, such as why a TLS handshake failed."""
+    """The end of an upstream request.
+
+    ``status`` "up" means that the connection is established. ``detail`` holds what the status does not tell, such as
+    why a TLS handshake failed.
+    """
 
     id: str
     number: int
@@ -140,7 +160,10 @@
 
 
 class Answer(Record, tag="answer"):
-    """The one final answer: served, refused (come back after ``wait_us``), failed, or left (the client did)."""
+    """The final answer to a request; there is only one.
+
+    ``outcome`` is served, refused (retry after ``wait_us``), failed, or left (the client went away).
+    """
 
     id: str
     outcome: str
@@ -153,7 +176,7 @@
 
 
 class Stand(Record, tag="stand"):
-    """The connection stands. ``resumed``: its host held it before this program started."""
+    """A connection is established. ``resumed``: its host held it before this program started."""
 
     id: str
     host: str
@@ -161,7 +184,7 @@
 
 
 class Note(Record, tag="note"):
-    """News of a standing connection as the module hears it: delay, silence or hush, in ms."""
+    """A delay, silence or hush of an established connection, in ms, as reported to the module."""
 
     id: str
     host: str
@@ -170,7 +193,7 @@
 
 
 class Moved(Record, tag="moved"):
-    """A standing connection was told to move. ``reason``: drain, mute, hush, overload or stop."""
+    """An established connection was told to move. ``reason``: drain, mute, hush, overload or stop."""
 
     id: str
     host: str
@@ -178,7 +201,7 @@
 
 
 class Ended(Record, tag="ended"):
-    """A standing connection's end. ``took_us`` counts from its stand."""
+    """The end of an established connection. ``took_us`` counts from its Stand record."""
 
     id: str
     host: str
@@ -188,7 +211,7 @@
 
 
 class HostState(msgspec.Struct, omit_defaults=True, gc=False):
-    """One entry of a list of hosts. ``born_us``: its last start, 0 if long ago."""
+    """One entry of a host list. ``born_us`` is the host's last start, 0 if it is unknown or long ago."""
 
     host: str
     state: str
@@ -198,7 +221,7 @@
 
 
 class Listed(Record, tag="listed"):
-    """The module was told of hosts. ``mode``: changes, complete, restored or unavailable."""
+    """The module received a host list. ``mode``: changes, complete, restored or unavailable."""
 
     front: str
     mode: str
@@ -206,8 +229,11 @@
 
 
 class Lost(Record, tag="lost"):
-    """Records that are missing here, how many and why: buffer (full), disk (the file could not be written)
-    or held (a sampled story was given up for want of room). ``since`` is the time of the first of them."""
+    """Records that are missing at this point.
+
+    ``why`` is buffer (the queue was full), disk (the file could not be written) or held (a request held by the sampler
+    was evicted for lack of memory). ``since`` is the time of the first missing record.
+    """
 
     count: int
     why: str
@@ -252,17 +278,18 @@
 )
 
 
-def name_of(cls: type[Record]) -> str:
-    """A kind's name in files and in JSON."""
+def kind_name(cls: type[Record]) -> str:
+    """Return the name of a record class in files and in JSON."""
     return str(cls.__struct_config__.tag)
 
 
-def kind_of(record: Record) -> str:
-    return name_of(type(record))
+def record_kind(record: Record) -> str:
+    """Return the name of a record's kind in files and in JSON."""
+    return kind_name(type(record))
 
 
-def corrected(record: Record) -> int:
-    """Microseconds since the epoch on the common clock."""
+def corrected_time(record: Record) -> int:
+    """Return a record's time on the common clock, in microseconds since the epoch."""
     return record.at + record.adj
 
 
@@ -271,28 +298,33 @@
 
 
 def to_json(record: Record) -> bytes:
-    """One line without its ending; fields that hold their default are left out."""
+    """Encode a record as one JSON line without a line ending, without fields that have their default value."""
     return _encoder.encode(record)
 
 
 def from_json(line: bytes) -> Record:
-    """Raises msgspec.ValidationError or DecodeError, whose text names the faulty field."""
+    """Decode one JSON line.
+
+    Raises:
+        msgspec.ValidationError: a field is wrong; the message names it.
+        msgspec.DecodeError: the line is not JSON.
+    """
     return _decoder.decode(line)
 
 
-def ids_of(record: Record) -> str | None:
-    """The request that a record tells of, if it tells of one."""
+def request_id_of(record: Record) -> str | None:
+    """Return the id of the request that a record belongs to, if any."""
     return getattr(record, "id", None)
 
 
-def hosts_of(record: Record) -> tuple[str, ...]:
-    """The hosts that a record tells of."""
-    named: list[str] = []
+def hosts_in(record: Record) -> tuple[str, ...]:
+    """Return the hosts that a record mentions."""
+    hosts: list[str] = []
     host = getattr(record, "host", None)
     if host is not None:
-        named.append(host)
+        hosts.append(host)
     if isinstance(record, Decision):
-        named += [c.host for c in record.candidates]
+        hosts += [c.host for c in record.candidates]
     elif isinstance(record, Listed):
-        named += [h.host for h in record.hosts]
-    return tuple(named)
+        hosts += [h.host for h in record.hosts]
+    return tuple(hosts)
