--- a/bramblestile/trace/rows.py
+++ b/bramblestile/trace/rows.py
@@ -1,7 +1,8 @@
-"""Records as rows, the payload that a running balancer writes; no I/O. Laid out in docs/trace-format.md.
+"""Encoder and decoder for the row payload that a running balancer writes; no I/O.
 
-MessagePack with the fields' names, after a table of all kinds and fields that the writer knows. It takes a twentieth of
-the time of columns and three times their room: a daemon has no time, an archive has no room. Tools make columns of it.
+docs/trace-format.md describes the layout: MessagePack with field names, after a table of all kinds and fields that the
+writer knows. Rows take a twentieth of the CPU time of columns and three times the space; a daemon is short of time, an
+archive of space. Tools convert rows to columns.
 """
 
 from __future__ import annotations
@@ -9,57 +10,66 @@
 import msgspec
 
 from bramblestile.trace.columns import ColumnError
-from bramblestile.trace.payload import MOST_RECORDS, Unknown
-from bramblestile.trace.records import INT_LEAST, INT_MOST, KINDS, AnyRecord, Record, name_of
+from bramblestile.trace.payload import MAX_RECORDS, UnknownCounts
+from bramblestile.trace.records import KINDS, MAX_INT, MIN_INT, AnyRecord, Record, kind_name
 
 _encoder = msgspec.msgpack.Encoder()
-_ours = {name_of(cls): list(cls.__struct_fields__) for cls in KINDS}
-_HEAD = b"\x92" + _encoder.encode(_ours)  # an array of two: this table, then the records
-_rows: msgspec.msgpack.Decoder[list[AnyRecord]] = msgspec.msgpack.Decoder(list[AnyRecord])
-_one: msgspec.msgpack.Decoder[AnyRecord] = msgspec.msgpack.Decoder(AnyRecord)
-_any: msgspec.msgpack.Decoder[tuple[dict[str, list[str]], list[msgspec.Raw]]] = msgspec.msgpack.Decoder(
+_FIELDS_BY_KIND = {kind_name(cls): list(cls.__struct_fields__) for cls in KINDS}
+_HEADER = b"\x92" + _encoder.encode(_FIELDS_BY_KIND)  # an array of two: this table, and the records
+_records_decoder: msgspec.msgpack.Decoder[list[AnyRecord]] = msgspec.msgpack.Decoder(list[AnyRecord])
+_record_decoder: msgspec.msgpack.Decoder[AnyRecord] = msgspec.msgpack.Decoder(AnyRecord)
+_raw_rows_decoder: msgspec.msgpack.Decoder[tuple[dict[str, list[str]], list[msgspec.Raw]]] = msgspec.msgpack.Decoder(
     tuple[dict[str, list[str]], list[msgspec.Raw]]
 )
 
 
-class _Tag(msgspec.Struct):
+class _KindField(msgspec.Struct):
     kind: str
 
 
-_tag: msgspec.msgpack.Decoder[_Tag] = msgspec.msgpack.Decoder(_Tag)
+_kind_decoder: msgspec.msgpack.Decoder[_KindField] = msgspec.msgpack.Decoder(_KindField)
 
 
-def put(rows: list[Record]) -> bytes:
+def encode(records: list[Record]) -> bytes:
+    """Encode the uncompressed payload of a block.
+
+    Raises:
+        ColumnError: a value cannot be encoded.
+    """
     try:
-        return _HEAD + _encoder.encode(rows)
+        return _HEADER + _encoder.encode(records)
     except (OverflowError, UnicodeEncodeError, msgspec.MsgspecError) as error:
         raise ColumnError(str(error)) from None
 
 
-def get(raw: bytes, unknown: Unknown) -> list[Record]:
-    """ColumnError where it is none."""
+def decode(raw: bytes, unknown: UnknownCounts) -> list[Record]:
+    """Decode the records of a payload, in the order in which they were written.
+
+    Raises:
+        ColumnError: the bytes are not a valid payload.
+    """
     try:
-        if raw.startswith(_HEAD):
-            made: list[Record] = list(_rows.decode(raw[len(_HEAD) :]))
+        if raw.startswith(_HEADER):
+            decoded: list[Record] = list(_records_decoder.decode(raw[len(_HEADER) :]))
         else:
-            made = _foreign(raw, unknown)
+            decoded = _decode_other_version(raw, unknown)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise ColumnError(str(error)) from None
-    if len(made) > MOST_RECORDS or any(not INT_LEAST <= r.at + r.adj <= INT_MOST for r in made):
-        raise ColumnError("records that no block holds")
-    return made
-
-
-def _foreign(raw: bytes, unknown: Unknown) -> list[Record]:
-    """Written by an older or a newer program: what that one knew and this one does not is counted."""
-    table, rows = _any.decode(raw)
-    made: list[Record] = []
-    for row in rows:
-        kind = _tag.decode(row).kind
-        if kind not in _ours:
+    if len(decoded) > MAX_RECORDS or any(not MIN_INT <= r.at + r.adj <= MAX_INT for r in decoded):
+        raise ColumnError("too many records for a block, or a time out of range")
+    return decoded
+
+
+def _decode_other_version(raw: bytes, unknown: UnknownCounts) -> list[Record]:
+    """Decode rows of an older or newer program, counting the kinds and fields that this one does not know."""
+    fields_by_kind, raw_rows = _raw_rows_decoder.decode(raw)
+    decoded: list[Record] = []
+    for raw_row in raw_rows:
+        kind = _kind_decoder.decode(raw_row).kind
+        if kind not in _FIELDS_BY_KIND:
             unknown.add(kind, 1)
             continue
-        for name in set(table.get(kind, ())) - set(_ours[kind]):
+        for name in set(fields_by_kind.get(kind, ())) - set(_FIELDS_BY_KIND[kind]):
             unknown.add(f"{kind}.{name}", 1)
-        made.append(_one.decode(row))
-    return made
+        decoded.append(_record_decoder.decode(raw_row))
+    return decoded
--- a/bramblestile/trace/sampling.py
+++ b/bramblestile/trace/sampling.py
@@ -1,11 +1,12 @@
-"""Which stories a trace keeps; no I/O. Decided at a story's end, so that what went wrong is kept whole.
+"""Sampling: which requests a trace keeps; no I/O.
 
-A class's share says how many of its *served and well ended* stories are kept; every refused or failed request, every
-one whose client left, and every connection that was cut or that the balancer moved for a fault of its host (mute,
-hush, overload) is kept from its first record. A story that is not kept from the start is held until its fate is
-known. Held records are bounded: over the bound the oldest story is given up and counted.
+A request is kept or dropped as a whole, at its end. The share of a class applies only to requests that were served and
+whose connection ended well. A request that was refused or failed or whose client left is always kept from its first
+record, and so is a connection that was cut or that the balancer moved for a fault of its host (mute, hush, overload).
+Until its end is known, a request that the share does not select is held in memory. The number of held records is
+bounded; beyond the limit, the oldest request is evicted and counted.
 
-The choice goes by a hash of the id, so all instances choose alike and a restart changes nothing.
+The choice depends on a hash of the id, so all instances choose alike, and a restart changes nothing.
 """
 
 from __future__ import annotations
@@ -15,67 +16,70 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from bramblestile.trace.records import Answer, Ended, Moved, Record, Request, ids_of
+from bramblestile.trace.records import Answer, Ended, Moved, Record, Request, request_id_of
 
-MOST_HELD = 8192  # records: some 2 MB, a quarter of what a recorder may take
-BAD_ENDS = frozenset(("cut", "error", "timed_out", "no_route", "no_room"))
-FAULTS = frozenset(("mute", "hush", "overload"))
+MAX_HELD_RECORDS = 8192  # about 2 MB, a quarter of the memory that a recorder may use
+FAILED_STATUSES = frozenset(("cut", "error", "timed_out", "no_route", "no_room"))
+HOST_FAULT_REASONS = frozenset(("mute", "hush", "overload"))
 
 
 @dataclass(slots=True)
 class Sampler:
-    """``shares``: by class, from 0 to 1; a class that is not named is kept whole."""
+    """Selects the records to write.
 
-    shares: Mapping[str, float] = field(default_factory=dict)
-    most_held: int = MOST_HELD
-    held: int = 0
-    passed_over: int = 0  # records of stories that were not kept
-    given_up: int = 0  # records that were held and had to go before their story's end
-    _open: OrderedDict[str, list[Record]] = field(default_factory=OrderedDict)  # the oldest first; none is empty
+    ``keep_shares`` is the share to keep by class, from 0 to 1; a class without one is kept completely.
+    """
+
+    keep_shares: Mapping[str, float] = field(default_factory=dict)
+    max_held: int = MAX_HELD_RECORDS
+    held_count: int = 0
+    dropped: int = 0  # records of requests that were not kept
+    evicted: int = 0  # held records that were removed before the end of their request
+    _pending: OrderedDict[str, list[Record]] = field(default_factory=OrderedDict)  # oldest first; no list is empty
 
     def offer(self, record: Record) -> Iterable[Record]:
-        """The records that are to be written now, this one or those of its story among them."""
-        name = ids_of(record)
-        if name is None:
+        """Return the records to write now: this one, or all that were held for its request, or none."""
+        request_id = request_id_of(record)
+        if request_id is None:
             return (record,)
-        story = self._open.get(name)
-        if story is None:
-            # Of a story that is not held all goes on: it was kept from the start or since it went wrong, or it is the
-            # rest of one that was given up. So nothing needs to be remembered of those.
-            if not isinstance(record, Request) or self._keeps(record):
+        records = self._pending.get(request_id)
+        if records is None:
+            # The records of a request that is not held are written: it is kept from the start or since it went wrong,
+            # or its first records were evicted. No state is needed for such requests.
+            if not isinstance(record, Request) or self._is_kept(record):
                 return (record,)
-            story = self._open[name] = []
-        story.append(record)
-        self.held += 1
-        if _is_bad(record):
-            return self._take(name)
+            records = self._pending[request_id] = []
+        records.append(record)
+        self.held_count += 1
+        if _went_wrong(record):
+            return self._pop(request_id)
         if isinstance(record, Ended):
-            self.passed_over += len(self._take(name))
-        while self.held > self.most_held:
-            # Oldest first: it has had the longest time to go wrong.
-            self.given_up += len(self._take(next(iter(self._open))))
+            self.dropped += len(self._pop(request_id))
+        while self.held_count > self.max_held:
+            # Evict the oldest request: it has had the longest time to go wrong.
+            self.evicted += len(self._pop(next(iter(self._pending))))
         return ()
 
-    def _take(self, name: str) -> list[Record]:
-        story = self._open.pop(name)
-        self.held -= len(story)
-        return story
+    def _pop(self, request_id: str) -> list[Record]:
+        records = self._pending.pop(request_id)
+        self.held_count -= len(records)
+        return records
 
-    def _keeps(self, record: Request) -> bool:
-        share = self.shares.get(record.cls, 1.0)
+    def _is_kept(self, record: Request) -> bool:
+        share = self.keep_shares.get(record.cls, 1.0)
         return share >= 1.0 or crc32(record.id.encode("utf-8", "replace")) < share * 2**32
 
-    def rest(self) -> list[Record]:
-        """At the program's stop: what is still held has no end yet, and is kept."""
-        out = [record for story in self._open.values() for record in story]
-        self._open.clear()
-        self.held = 0
-        return out
+    def flush(self) -> list[Record]:
+        """Return all held records when the program stops; their requests have no end yet and are kept."""
+        remaining = [record for records in self._pending.values() for record in records]
+        self._pending.clear()
+        self.held_count = 0
+        return remaining
 
 
-def _is_bad(record: Record) -> bool:
+def _went_wrong(record: Record) -> bool:
     if isinstance(record, Answer):
         return record.outcome != "served"
     if isinstance(record, Ended):
-        return record.status in BAD_ENDS
-    return isinstance(record, Moved) and record.reason in FAULTS
+        return record.status in FAILED_STATUSES
+    return isinstance(record, Moved) and record.reason in HOST_FAULT_REASONS
--- a/bramblestile/trace/schema.py
+++ b/bramblestile/trace/schema.py
@@ -1,4 +1,4 @@
-"""Which columns a kind of record has, read off the typed records themselves; no I/O."""
+"""The columns of each kind of record, derived from the record classes; no I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 import msgspec
 
 from bramblestile.trace import records
-from bramblestile.trace.columns import SAME, TIME, ZERO
-from bramblestile.trace.records import KINDS, Record, name_of
+from bramblestile.trace.columns import SOURCE_SAME_FIELD, SOURCE_TIME, SOURCE_ZERO
+from bramblestile.trace.records import KINDS, Record, kind_name
 
-INT, FLOAT, TEXT, FLAG, LIST = b"iftbl"  # a column's type, as it stands in the file
+INT, FLOAT, TEXT, FLAG, LIST = b"iftbl"  # the type of a column, as stored in the file
 _TYPES = {int: INT, float: FLOAT, str: TEXT, bool: FLAG}
-COMMON = ("at", "src", "adj")  # stored once for all kinds of a block
+COMMON_FIELDS = ("at", "src", "adj")  # stored once per block, for all its kinds
 
 
 @dataclass(slots=True, frozen=True)
 class Column:
-    """One field. ``of``: a list's struct, whose fields are columns of their own."""
+    """One field. ``item_schema`` is the schema of a list's items, whose fields are columns of their own."""
 
     name: str
     type: int
     nullable: bool
-    of: Shape | None = None
+    item_schema: StructSchema | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Shape:
+class StructSchema:
     """A struct and its columns, in the order of its positional fields."""
 
     cls: type[msgspec.Struct]
@@ -37,24 +37,25 @@
 
 def _column(name: str, hint: object) -> Column:
     if isinstance(hint, types.UnionType):
-        plain, nothing = (a for a in typing.get_args(hint))
-        assert nothing is types.NoneType, hint
-        return Column(name, _TYPES[plain], True)
+        value_type, none_type = (a for a in typing.get_args(hint))
+        assert none_type is types.NoneType, hint
+        return Column(name, _TYPES[value_type], True)
     if typing.get_origin(hint) is list:
         (item,) = typing.get_args(hint)
-        return Column(name, LIST, False, shape(item))
+        return Column(name, LIST, False, struct_schema(item))
     assert isinstance(hint, type)
     return Column(name, _TYPES[hint], False)
 
 
-def shape(cls: type[msgspec.Struct]) -> Shape:
+def struct_schema(cls: type[msgspec.Struct]) -> StructSchema:
+    """Derive the schema of a struct from its annotations."""
     hints = typing.get_type_hints(cls, vars(records))
-    return Shape(cls, tuple(_column(f, hints[f]) for f in cls.__struct_fields__ if f not in COMMON))
+    return StructSchema(cls, tuple(_column(f, hints[f]) for f in cls.__struct_fields__ if f not in COMMON_FIELDS))
 
 
-# Columns that another kind's record of the same request mostly tells already: from which, and whether it is the span
-# since that record that is told. The file says for itself what was linked; this is the writer's choice.
-LINKS: dict[tuple[type[Record], str], tuple[type[Record], bool]] = {
+# Columns whose value usually follows from another kind's record of the same request: that kind, and whether the value
+# is the time since that record. This is the writer's choice; the file states for each column what it refers to.
+PREDICTED_FROM: dict[tuple[type[Record], str], tuple[type[Record], bool]] = {
     (records.Attempt, "host"): (records.Decision, False),
     (records.Attempt, "number"): (records.Decision, False),
     (records.Attempt, "took_us"): (records.Decision, True),
@@ -68,11 +69,12 @@
     (records.Ended, "host"): (records.Stand, False),
     (records.Ended, "took_us"): (records.Stand, True),
 }
-# Columns of a decision's candidates that a host's own answer sets until the next one: from which kind, and to what.
-TOLD: dict[str, tuple[type[Record], int]] = {
-    "load_at": (records.Probed, TIME),
-    "load": (records.Probed, SAME),
-    "placed": (records.Probed, ZERO),
+# Columns of a decision's candidates that the result of a host's probe sets until the next one: the kind of that record,
+# and where the new value comes from.
+UPDATED_BY: dict[str, tuple[type[Record], int]] = {
+    "load_at": (records.Probed, SOURCE_TIME),
+    "load": (records.Probed, SOURCE_SAME_FIELD),
+    "placed": (records.Probed, SOURCE_ZERO),
 }
-SHAPES: dict[type[Record], Shape] = {cls: shape(cls) for cls in KINDS}
-BY_NAME: dict[str, type[Record]] = {name_of(cls): cls for cls in KINDS}
+SCHEMAS: dict[type[Record], StructSchema] = {cls: struct_schema(cls) for cls in KINDS}
+TYPES_BY_KIND: dict[str, type[Record]] = {kind_name(cls): cls for cls in KINDS}
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,7 +16,7 @@
 
 from bramblestile.clock import MICROSECOND
 from bramblestile.memory.decisions import reason
-from bramblestile.trace.recorder import Shaper
+from bramblestile.trace.recorder import RecordBuilder
 from bramblestile.trace.records import Record
 from vanegw import interface as api
 from vanegw.recording import RecordingBalancer
@@ -86,7 +86,7 @@
             max_retry_after_us=1_000_000,
         )
         self.balancer = RecordingBalancer(settings, self.seed)
-        self.shape = Shaper(self.out.append)
+        self.shape = RecordBuilder(self.out.append)
         self.balancer.recording, self.balancer.make_candidate = True, self.shape.belief
         self.now = START
         self.queue: list[tuple[int, int, str, Any]] = []
--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -36,7 +36,7 @@
     for path in sorted(folder.glob("*.trace")):
         with Reader(path) as reader:
             out += reader.read()
-            assert not reader.damaged, reader.damage
+            assert not reader.damage_count, reader.damage
     return out
 
 
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -15,9 +15,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bramblestile.trace import Reader, TraceError, Wanted, Writer, columns, frames, payload, rows, schema
+from bramblestile.trace import Query, Reader, TraceError, Writer, columns, frames, payload, rows, schema
 from bramblestile.trace.columns import ColumnError, Cursor
-from bramblestile.trace.payload import Unknown
+from bramblestile.trace.payload import UnknownCounts
 from bramblestile.trace.records import (
     KINDS,
     Candidate,
@@ -45,13 +45,13 @@
 
 def write(path: Path, records: list[Record], block: int = 100, layout: int = frames.COLUMNS, **told: Any) -> Path:
     with open(path, "wb") as file:
-        writer = Writer(file, told, level=1, block=block, layout=layout)
+        writer = Writer(file, told, level=1, block_records=block, layout=layout)
         writer.extend(records)
         writer.flush()
     return path
 
 
-def read(path: Path, wanted: Wanted | None = None) -> tuple[list[Record], Reader]:
+def read(path: Path, wanted: Query | None = None) -> tuple[list[Record], Reader]:
     with Reader(path) as reader:
         return list(reader.read(wanted)), reader
 
@@ -61,14 +61,14 @@
 TEXTS = ("", "0a1b2c3d", "s-be1e0823", "år", "\n\0", "0a1b2c3e")
 
 
-def drawn(shape: schema.Shape, r: random.Random) -> Any:
+def drawn(shape: schema.StructSchema, r: random.Random) -> Any:
     """A struct with a value of each field's type, odd ones among them."""
 
     def one(column: schema.Column) -> Any:
         if column.nullable and r.random() < 0.5:
             return None
-        if column.of is not None:
-            return [drawn(column.of, r) for _ in range(r.randrange(4))]
+        if column.item_schema is not None:
+            return [drawn(column.item_schema, r) for _ in range(r.randrange(4))]
         return {
             schema.INT: r.choice((0, 1, -1, r.randrange(1000), r.getrandbits(60))),
             schema.TEXT: r.choice(TEXTS),
@@ -86,10 +86,10 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_every_record_comes_back_as_it_was(layout: int, seed: int) -> None:
     r = random.Random(seed)
-    records = [drawn(schema.SHAPES[r.choice(KINDS)], r) for _ in range(r.choice((1, 3, 40)))]
-    unknown = Unknown()
-    raw = payload.put(records) if layout == frames.COLUMNS else rows.put(records)
-    got = payload.get(raw, unknown) if layout == frames.COLUMNS else rows.get(raw, unknown)
+    records = [drawn(schema.SCHEMAS[r.choice(KINDS)], r) for _ in range(r.choice((1, 3, 40)))]
+    unknown = UnknownCounts()
+    raw = payload.encode(records) if layout == frames.COLUMNS else rows.encode(records)
+    got = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
     assert list(map(repr, got)) == list(map(repr, records)) and not unknown.counts
 
 
@@ -101,12 +101,12 @@
 @given(st.lists(INTS, min_size=1, max_size=40), st.lists(st.integers(0, 3), min_size=40, max_size=40))
 def test_whole_numbers(values: list[int], keys: list[int]) -> None:
     try:
-        plain, keyed = columns.put_ints(values), columns.put_ints(values, keys[: len(values)])
+        plain, keyed = columns.encode_ints(values), columns.encode_ints(values, keys[: len(values)])
     except ColumnError:
         assert max(values) - min(values) >= 1 << 64
         return
-    assert columns.get_ints(Cursor(plain), len(values)) == values
-    assert columns.get_ints(Cursor(keyed), len(values), keys[: len(values)]) == values
+    assert columns.decode_ints(Cursor(plain), len(values)) == values
+    assert columns.decode_ints(Cursor(keyed), len(values), keys[: len(values)]) == values
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
     ],
 )
 def test_fractions_keep_every_bit(values: list[float]) -> None:
-    got = columns.get_floats(Cursor(columns.put_floats(values)), len(values))
+    got = columns.decode_floats(Cursor(columns.encode_floats(values)), len(values))
     assert [v.hex() for v in got] == [v.hex() for v in values]
 
 
@@ -134,15 +134,15 @@
     path = write(tmp_path / "t.trace", ROWS, layout=layout)
     assert read(path)[0] == ROWS
     since, until = ROWS[400].at, ROWS[900].at
-    assert read(path, Wanted(since, until))[0] == [r for r in ROWS if since <= r.at < until]
+    assert read(path, Query(since, until))[0] == [r for r in ROWS if since <= r.at < until]
     asked = next(r for r in ROWS[300:] if isinstance(r, Request))
-    assert read(path, Wanted(id=asked.id))[0] == [r for r in ROWS if getattr(r, "id", None) == asked.id]
+    assert read(path, Query(id=asked.id))[0] == [r for r in ROWS if getattr(r, "id", None) == asked.id]
     host = next(r.host for r in ROWS if isinstance(r, Decision) and r.host)
-    got = read(path, Wanted(host=host))[0]
+    got = read(path, Query(host=host))[0]
     told = [r for r in ROWS if host.encode() in to_json(r)]
     assert got == told and len(got) > 20
     ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == asked.cls}
-    assert read(path, Wanted(since, until, cls=asked.cls))[0] == [
+    assert read(path, Query(since, until, cls=asked.cls))[0] == [
         r for r in ROWS if since <= r.at < until and getattr(r, "id", None) in ids
     ]
 
@@ -153,14 +153,14 @@
     path = write(tmp_path / "t.trace", ROWS, block=50)
     asked = next(r for r in ROWS if isinstance(r, Request))
     read_blocks: list[int] = []
-    plain = frames.Unpacker.records
+    plain = frames.BlockDecoder.decode
 
-    def counted(self: frames.Unpacker, frame: frames.Frame, *more: Any) -> list[Record]:
+    def counted(self: frames.BlockDecoder, frame: frames.Frame, *more: Any) -> list[Record]:
         read_blocks.append(frame.number)
         return plain(self, frame, *more)
 
-    monkeypatch.setattr(frames.Unpacker, "records", counted)
-    got = read(path, Wanted(id=asked.id))[0]
+    monkeypatch.setattr(frames.BlockDecoder, "decode", counted)
+    got = read(path, Query(id=asked.id))[0]
     holding = {n // 50 for n, r in enumerate(ROWS) if getattr(r, "id", None) == asked.id}
     assert len(got) >= 4 and set(read_blocks) == holding
 
@@ -186,12 +186,12 @@
     path = write(memory_path / "t.trace", ROWS[:230], layout=layout, block=100)
     whole = path.read_bytes()
     with Reader(path) as reader:
-        places = list(reader.places())
+        places = list(reader.block_locations())
     for end in range(places[1].offset, len(whole)):
         path.write_bytes(whole[:end])
         got, reader = read(path)
         assert got == ROWS[: 100 if end < places[2].offset else 200]
-        assert reader.damaged == (0 if end in (places[1].offset, places[2].offset) else 1)
+        assert reader.damage_count == (0 if end in (places[1].offset, places[2].offset) else 1)
 
 
 @pytest.mark.parametrize("layout", [frames.COLUMNS, frames.ROWS])
@@ -204,7 +204,7 @@
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << places.randrange(8)]) + whole[at + 1 :])
         got, reader = read(path)
         sound(got, ROWS[:800], 1)
-        assert reader.damaged == 1 and 0 <= reader.damage[0].offset <= at
+        assert reader.damage_count == 1 and 0 <= reader.damage[0].offset <= at
 
 
 def test_zeros_at_the_end_and_a_hole_in_the_middle_are_told_with_their_place(tmp_path: Path) -> None:
@@ -214,7 +214,7 @@
     got, reader = read(path)
     assert got == ROWS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
     with Reader(path) as reader:
-        hole = list(reader.places())[2]
+        hole = list(reader.block_locations())[2]
     path.write_bytes(whole[: hole.offset + 3] + bytes(hole.frame.size) + whole[hole.offset + 3 + hole.frame.size :])
     got, reader = read(path)
     sound(got, ROWS[:500], 2)
@@ -224,19 +224,19 @@
 @given(st.data())
 def test_a_reader_raises_nothing_but_its_own_error(data: st.DataObject) -> None:
     """Payloads whose checksums hold and that make no sense: what a program with a fault, or a foe, would write."""
-    raw = bytearray(payload.put(ROWS[:60]) if data.draw(st.booleans()) else rows.put(ROWS[:60]))
-    layout = frames.ROWS if raw.startswith(rows._HEAD) else frames.COLUMNS
+    raw = bytearray(payload.encode(ROWS[:60]) if data.draw(st.booleans()) else rows.encode(ROWS[:60]))
+    layout = frames.ROWS if raw.startswith(rows._HEADER) else frames.COLUMNS
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(raw) - 1))
         junk = data.draw(st.one_of(st.binary(max_size=12), st.just(b"\xff" * 9 + b"\x01")))
         raw[at : at + data.draw(st.integers(0, 12))] = junk
-    unpacker, unknown = frames.Unpacker(), Unknown()
-    packer = frames.Packer(1, layout)
-    block = packer.squeeze(frames.Block(bytes(raw), b"", 60, 0, 1, layout), 0)
-    frame = frames.read_frame(block)
+    unpacker, unknown = frames.BlockDecoder(), UnknownCounts()
+    packer = frames.BlockEncoder(1, layout)
+    block = packer.compress(frames.EncodedBlock(bytes(raw), b"", 60, 0, 1, layout), 0)
+    frame = frames.decode_frame(block)
     assert frame is not None
     try:
-        got = unpacker.records(frame, block[frames.FRAME_SIZE :], unknown)
+        got = unpacker.decode(frame, block[frames.FRAME_SIZE :], unknown)
     except TraceError:
         return
     assert len(got) <= 60
@@ -246,7 +246,7 @@
 @given(st.binary(max_size=400), st.booleans())
 def test_any_file_is_a_trace_or_is_not(tmp_path_factory: pytest.TempPathFactory, junk: bytes, headed: bool) -> None:
     path = tmp_path_factory.mktemp("junk") / "f"
-    path.write_bytes((frames.file_head({}) if headed else b"") + junk)
+    path.write_bytes((frames.encode_file_header({}) if headed else b"") + junk)
     try:
         got, _ = read(path)
     except TraceError:
@@ -257,15 +257,15 @@
 
 def test_lengths_that_lie_take_no_memory() -> None:
     """A frame that claims 4 GB, a block that claims to unpack to it, a column of 2^60 values."""
-    good = frames.read_frame(frames.Packer(1).block(ROWS[:5], 0))
+    good = frames.decode_frame(frames.BlockEncoder(1).encode_block(ROWS[:5], 0))
     assert good is not None
-    for lie in ({"raw": 1 << 31}, {"filter": 1 << 30}, {"records": 1 << 30}):
-        assert frames.read_frame(replace(good, **lie).pack()) is None
-    for size in (b"\xff" * 9 + b"\x01", columns.varint(1 << 40)):
+    for lie in ({"raw_bytes": 1 << 31}, {"filter_bytes": 1 << 30}, {"record_count": 1 << 30}):
+        assert frames.decode_frame(replace(good, **lie).encode()) is None
+    for size in (b"\xff" * 9 + b"\x01", columns.encode_varint(1 << 40)):
         with pytest.raises(ColumnError):
-            payload.get(size + b"\x01" * 50, Unknown())
+            payload.decode(size + b"\x01" * 50, UnknownCounts())
         with pytest.raises(ColumnError):
-            columns.get_texts(Cursor(size + b"\x00" * 50))
+            columns.decode_strings(Cursor(size + b"\x00" * 50))
 
 
 # Versions.
@@ -291,18 +291,19 @@
     with monkeypatch.context() as patch:
         patch.setattr(payload, "KINDS", (*KINDS, Newer, Wider))
         for made in (Newer, Wider):
-            patch.setitem(cast(Any, schema.SHAPES), made, schema.shape(made))
+            patch.setitem(cast(Any, schema.SCHEMAS), made, schema.struct_schema(made))
         patch.setattr(
             rows,
-            "_HEAD",
+            "_HEADER",
             b"\x92"
             + msgspec.msgpack.encode(
-                rows._ours | {"newer": ["at", "what", "parts"], "started": [*rows._ours["started"], "cores"]}
+                rows._FIELDS_BY_KIND
+                | {"newer": ["at", "what", "parts"], "started": [*rows._FIELDS_BY_KIND["started"], "cores"]}
             ),
         )
-        raw = payload.put(mixed) if layout == frames.COLUMNS else rows.put(mixed)
-    unknown = Unknown()
-    got = payload.get(raw, unknown) if layout == frames.COLUMNS else rows.get(raw, unknown)
+        raw = payload.encode(mixed) if layout == frames.COLUMNS else rows.encode(mixed)
+    unknown = UnknownCounts()
+    got = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
     assert got == [Started("here", at=1), ROWS[1]]
     assert {k.lower(): v for k, v in unknown.counts.items()} == {"newer": 1, "started.cores": 1}
 
@@ -312,10 +313,10 @@
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
-        patch.setattr(schema.BY_NAME[kind], "VERSION", 2)
-        raw = payload.put(ROWS)
+        patch.setattr(schema.TYPES_BY_KIND[kind], "VERSION", 2)
+        raw = payload.encode(ROWS)
     with pytest.raises(ColumnError, match="refers to records of a newer program"):
-        payload.get(raw, Unknown())
+        payload.decode(raw, UnknownCounts())
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -347,10 +348,10 @@
                     at=at,
                 )
             )
-    raw = payload.put(made)
-    assert payload.get(raw, Unknown()) == made
+    raw = payload.encode(made)
+    assert payload.decode(raw, UnknownCounts()) == made
     silent = [r for r in made if not isinstance(r, Probed)]
-    assert payload.get(payload.put(silent), Unknown()) == silent
+    assert payload.decode(payload.encode(silent), UnknownCounts()) == silent
 
 
 def test_the_figures_of_a_hosts_answer_take_no_room_in_the_decisions_after_it() -> None:
@@ -369,7 +370,7 @@
                     candidates=[Candidate("a", load=load, load_at=at), Candidate("b", load=0.5, load_at=7)],
                 )
             )
-        return len(zstandard.compress(payload.put(made)))
+        return len(zstandard.compress(payload.encode(made)))
 
     # The answers themselves take 400 times and loads; a decision that repeated them would take as much again.
     assert packed(True) < packed(False) + 150
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -17,10 +17,10 @@
 
 from bramblestile.memory.counters import Counters
 from bramblestile.trace import Reader
-from bramblestile.trace.intake import FIRST_PAUSE, LONGEST_PAUSE, Losses, Pace
-from bramblestile.trace.keeping import Limits, Stored, file_name, is_due, to_remove
-from bramblestile.trace.recorder import Plan, Recorder, open_file
+from bramblestile.trace.losses import INITIAL_BACKOFF, MAX_BACKOFF, LossCounter, RetryBackoff
+from bramblestile.trace.recorder import Recorder, RecorderConfig, open_file
 from bramblestile.trace.records import Answer, Attempt, Decision, Ended, Lost, Moved, Note, Record, Request, Stand
+from bramblestile.trace.retention import RetentionLimits, StoredFile, file_name, files_to_remove, rotation_due
 from bramblestile.trace.sampling import Sampler
 from tests.balancer_driver import SETTINGS, BalancerDriver, make_backends
 from tests.fleet import Fleet
@@ -107,7 +107,7 @@
 )
 def test_what_went_wrong_is_kept_whole_and_in_order(kept: list[Record]) -> None:
     sampler = Sampler({"feed": 0.0})
-    assert play(sampler, kept) == kept and sampler.held == 0 and sampler.rest() == []
+    assert play(sampler, kept) == kept and sampler.held_count == 0 and sampler.flush() == []
 
 
 def test_what_went_well_is_kept_by_its_share_and_alike_everywhere() -> None:
@@ -118,25 +118,25 @@
     assert kept == again and all(one in ([], before) for one, before in zip(kept, stories, strict=True))
     assert 150 <= sum(map(bool, kept)) <= 250
     sampler = Sampler({"feed": 0.0})
-    assert play(sampler, stories[0]) == [] and (sampler.held, sampler.passed_over) == (0, 5)
+    assert play(sampler, stories[0]) == [] and (sampler.held_count, sampler.dropped) == (0, 5)
     assert play(sampler, [Note("", "a", "delay", 1.0, at=1)])  # a note of no known story is no story's loss
 
 
 def test_stories_that_are_held_are_bounded_and_the_oldest_is_given_up() -> None:
-    sampler = Sampler({"feed": 0.0}, most_held=10)
+    sampler = Sampler({"feed": 0.0}, max_held=10)
     for n in range(6):
         assert play(sampler, story(f"r{n}")[:4]) == []
-    assert sampler.held <= 10 and sampler.given_up == 16
+    assert sampler.held_count <= 10 and sampler.evicted == 16
     assert play(sampler, [story("r5", end="cut")[4]]) == story("r5", end="cut")
     assert play(sampler, [story("r0", end="cut")[4]]) == [story("r0", end="cut")[4]]  # what is left of it
-    assert len(sampler.rest()) == 4 and sampler.held == 0
+    assert len(sampler.flush()) == 4 and sampler.held_count == 0
 
 
 # Losses, pace, rotation.
 
 
 def test_losses_are_told_once_by_reason_and_come_back_where_they_could_not_be_written() -> None:
-    losses = Losses()
+    losses = LossCounter()
 
     def add() -> None:
         for _ in range(500):
@@ -148,37 +148,37 @@
     for thread in threads:
         thread.join()
     losses.add("disk", 3, 9)
-    told = losses.take(20)
+    told = losses.drain(20)
     assert [(t.count, t.why, t.since, t.at) for t in told] == [(2000, "buffer", 7, 20), (3, "disk", 9, 20)]
-    assert losses.take(21) == []
-    losses.put_back(told)
+    assert losses.drain(21) == []
+    losses.restore(told)
     losses.add("disk", 1, 30)
-    assert [(t.count, t.since) for t in losses.take(31)] == [(2000, 7), (4, 9)]
+    assert [(t.count, t.since) for t in losses.drain(31)] == [(2000, 7), (4, 9)]
 
 
 def test_a_failing_folder_is_tried_again_ever_more_seldom_but_never_given_up() -> None:
-    pace, now, pauses = Pace(), timedelta(0), []
+    pace, now, pauses = RetryBackoff(), timedelta(0), []
     for _ in range(12):
-        pace.failed(now)
+        pace.record_failure(now)
         pauses.append(pace.next_try - now)
-        assert not pace.may_try(pace.next_try - timedelta(microseconds=1)) and pace.may_try(pace.next_try)
+        assert not pace.may_retry(pace.next_try - timedelta(microseconds=1)) and pace.may_retry(pace.next_try)
         now = pace.next_try
-    assert pauses[:3] == [FIRST_PAUSE, 2 * FIRST_PAUSE, 4 * FIRST_PAUSE] and pauses[-1] == LONGEST_PAUSE
-    pace.succeeded()
-    assert pace.may_try(timedelta(0))
+    assert pauses[:3] == [INITIAL_BACKOFF, 2 * INITIAL_BACKOFF, 4 * INITIAL_BACKOFF] and pauses[-1] == MAX_BACKOFF
+    pace.record_success()
+    assert pace.may_retry(timedelta(0))
 
 
 def test_rotation_by_size_and_age_and_only_own_files_go() -> None:
-    limits = Limits(file_bytes=100, file_age=60 * SECOND, total_bytes=400)
-    assert is_due(limits, 100, SECOND, SECOND) and is_due(limits, 1, SECOND, 61 * SECOND)
-    assert not is_due(limits, 99, SECOND, 60 * SECOND)
+    limits = RetentionLimits(file_bytes=100, file_age=60 * SECOND, total_bytes=400)
+    assert rotation_due(limits, 100, SECOND, SECOND) and rotation_due(limits, 1, SECOND, 61 * SECOND)
+    assert not rotation_due(limits, 99, SECOND, 60 * SECOND)
     names = [file_name("n1", timedelta(seconds=1_796_000_000 + n)) for n in range(6)]
     assert names == sorted(names) and file_name("a/../b", SECOND).startswith("a_.._b-")
     others = [file_name("n10", SECOND), file_name("n2", SECOND), "n1-notes.trace", "n1-x.txt", names[0] + ".part"]
-    files = [Stored(name, 100) for name in [*reversed(names), *others]]
-    assert to_remove(limits, "n1", files, names[5]) == names[:2]
-    assert to_remove(limits, "n1", files, None) == names[:3]
-    assert to_remove(limits, "n1", [Stored(names[5], 9999)], names[5]) == []
+    files = [StoredFile(name, 100) for name in [*reversed(names), *others]]
+    assert files_to_remove(limits, "n1", files, names[5]) == names[:2]
+    assert files_to_remove(limits, "n1", files, None) == names[:3]
+    assert files_to_remove(limits, "n1", [StoredFile(names[5], 9999)], names[5]) == []
 
 
 # The recorder on a folder that fails.
@@ -207,7 +207,9 @@
         self.folder, self.fault = folder, fault
         self.now = timedelta(seconds=1_796_000_000)
         self.counters = Counters()
-        self.recorder = Recorder(Plan(folder, "n1", "bergen-hall", **plan), self.counters, self.open, lambda: self.now)
+        self.recorder = Recorder(
+            RecorderConfig(folder, "n1", "bergen-hall", **plan), self.counters, self.open, lambda: self.now
+        )
         self.records = Fleet(rate=100.0).records()
 
     def open(self, path: Path) -> BinaryIO:
@@ -217,7 +219,7 @@
     def feed(self, count: int) -> list[Record]:
         rows = list(itertools.islice(self.records, count))
         for row in rows:
-            self.recorder._put(row)
+            self.recorder._emit(row)
         return rows
 
     def flush(self, seconds: float = 1.0) -> None:
@@ -229,7 +231,7 @@
         for path in sorted(self.folder.iterdir()):
             with Reader(path) as reader:
                 out += reader.read()
-                assert not reader.damaged, reader.damage
+                assert not reader.damage_count, reader.damage
         return out
 
 
@@ -245,7 +247,7 @@
 
 
 def test_a_full_queue_drops_counts_and_tells(tmp_path: Path) -> None:
-    bench = Bench(tmp_path, buffer=100)
+    bench = Bench(tmp_path, buffer_size=100)
     fed = bench.feed(250)
     bench.flush()
     lost, *kept = bench.read()
@@ -304,7 +306,7 @@
 
 def test_a_record_that_no_file_can_hold_ends_nothing(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
-    bench.recorder._put(Stand("r", "a", at=1 << 70))
+    bench.recorder._emit(Stand("r", "a", at=1 << 70))
     bench.flush()
     fed = bench.feed(3)
     bench.flush(5)
@@ -312,7 +314,7 @@
 
 
 def test_files_rotate_and_the_total_is_bounded(tmp_path: Path) -> None:
-    bench = Bench(tmp_path, limits=Limits(file_bytes=20_000, file_age=30 * SECOND, total_bytes=60_000))
+    bench = Bench(tmp_path, limits=RetentionLimits(file_bytes=20_000, file_age=30 * SECOND, total_bytes=60_000))
     for _ in range(30):
         bench.feed(200)
         bench.flush(3)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -20,7 +20,7 @@
 
 from bramblestile import cli
 from bramblestile.trace import Reader, Writer, clocks, frames, summary
-from bramblestile.trace.clocks import Seen, estimate
+from bramblestile.trace.clocks import ClockEvents, estimate_offset
 from bramblestile.trace.records import (
     Ended,
     HostState,
@@ -31,7 +31,7 @@
     Record,
     Reloaded,
     Request,
-    corrected,
+    corrected_time,
     to_json,
 )
 from tests.fleet import START, TENANTS, Fleet
@@ -42,7 +42,7 @@
 
 def save(path: Path, records: Sequence[Record], layout: int = frames.COLUMNS, **told: object) -> Path:
     with open(path, "wb") as file:
-        writer = Writer(file, told, level=1, block=500, layout=layout)
+        writer = Writer(file, told, level=1, block_records=500, layout=layout)
         writer.extend(records)
         writer.flush()
     return path
@@ -92,7 +92,7 @@
 
 
 def test_a_window_by_times_as_people_write_them(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    first = min(map(corrected, ROWS))
+    first = min(map(corrected_time, ROWS))
     assert run("export", trace, "--from", "+2s", "--to", str(first + 4_000_000)) == 0
     wanted = [r for r in ROWS if first + 2_000_000 <= r.at < first + 4_000_000]
     assert capfd.readouterr().out == "".join(to_json(r).decode() + "\n" for r in wanted) and wanted
@@ -103,7 +103,7 @@
 def test_info_and_recover_tell_what_is_damaged(tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
     whole = trace.read_bytes()
     with Reader(trace) as reader:
-        third = list(reader.places())[2]
+        third = list(reader.block_locations())[2]
     hurt = whole[: third.offset + 300] + b"\0" + whole[third.offset + 301 :]
     trace.write_bytes(hurt[:-7])
     assert run("info", trace) == 0
@@ -130,7 +130,7 @@
     out = tmp_path / "o.trace"
     out.write_text("mine")
     assert run("cut", trace, "-o", out) == 2 and out.read_text() == "mine"
-    assert capfd.readouterr().err == f"bramblestile: {out}: is there already; --force overwrites it\n"
+    assert capfd.readouterr().err == f"bramblestile: {out}: already exists; --force overwrites it\n"
     assert run("cut", trace, "-o", out, "--force") == 0 and load(out) == ROWS
     bad = tmp_path / "bad.jsonl"
     bad.write_bytes(to_json(ROWS[0]) + b"\n" + b'{"kind":"stand","id":"x","at":"soon"}\n')
@@ -208,14 +208,14 @@
     out[0].append(Listed("lines", "changes", [HostState("odd", "draining")], at=by(0, 1e6)))
     out[1].append(Listed("lines", "changes", [HostState("odd", "draining")], at=by(1, 4e6)))
     for hall in (0, 1):
-        out[hall].sort(key=corrected)
+        out[hall].sort(key=corrected_time)
     return out
 
 
-def seen(records: Sequence[Record]) -> Seen:
-    made = Seen()
+def seen(records: Sequence[Record]) -> ClockEvents:
+    made = ClockEvents()
     for record in records:
-        made.hear(record)
+        made.add(record)
     return made
 
 
@@ -224,13 +224,13 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_offset_is_recovered_within_2_ms_over_the_whole_trace(offset: int, drift: float, seed: int) -> None:
     here, there = (seen(half) for half in halls(offset, drift, seconds=300.0, seed=seed))
-    got = estimate(here, there)
+    got = estimate_offset(here, there)
     for us in (0.0, 150e6, 300e6):
         true = offset + us * drift
         told = START + round(us + true)
-        assert abs(-got.at(told) - true) < 2000, (us, got)
+        assert abs(-got.correction_us(told) - true) < 2000, (us, got)
     true = offset + (got.middle_us - START) * drift
-    assert got.by == "links" and got.within_us < 3000 and abs(got.offset_us - true) < 2 * got.within_us
+    assert got.method == "links" and got.error_us < 3000 and abs(got.offset_us - true) < 2 * got.error_us
 
 
 def test_clients_that_come_back_both_ways_bound_the_offset() -> None:
@@ -242,24 +242,24 @@
         halves[frm].append(Request(f"r{n}", "lines", "feed", 1, key=f"{n:016x}", at=at - 10_000 + skew[frm]))
         halves[frm].append(Moved(f"r{n}", "a", "drain", at=at + skew[frm]))
         halves[to].append(Request(f"s{n}", "lines", "feed", 1, key=f"{n:016x}", is_return=True, at=back + skew[to]))
-    got = estimate(*(seen(sorted(half, key=corrected)) for half in halves))
-    assert got.by == "returns" and abs(got.offset_us + 40_000) < 2000 <= got.within_us <= 25_000
+    got = estimate_offset(*(seen(sorted(half, key=corrected_time)) for half in halves))
+    assert got.method == "returns" and abs(got.offset_us + 40_000) < 2000 <= got.error_us <= 25_000
 
 
 def test_what_nothing_links_is_said_and_not_guessed() -> None:
-    nothing = estimate(seen(ROWS[:50]), Seen())
-    assert nothing.by == "nothing" and math.isinf(nothing.within_us) and nothing.at(START) == 0
-    one_way = estimate(
+    nothing = estimate_offset(seen(ROWS[:50]), ClockEvents())
+    assert nothing.method == "nothing" and math.isinf(nothing.error_us) and nothing.correction_us(START) == 0
+    one_way = estimate_offset(
         seen([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
         seen([Request("s", "lines", "feed", 1, key="a", is_return=True, at=START + 30_000)]),
     )
-    assert one_way.by == "nothing" and "less than 30.0 ms" in one_way.note
+    assert one_way.method == "nothing" and "less than 30.0 ms" in one_way.note
     reports = [
         seen([Probed("h", "served", 1, load=0.1 * n, queue=float(n), at=START + n * 1_000_000 + off) for n in range(9)])
         for off in (0, 7_000)
     ]
-    got = estimate(*reports)
-    assert got.by == "links" and got.links == {"report": 9} and abs(got.offset_us - 7_000) < 100
+    got = estimate_offset(*reports)
+    assert got.method == "links" and got.links == {"report": 9} and abs(got.offset_us - 7_000) < 100
 
 
 def test_links_chain_through_a_third_trace() -> None:
@@ -270,12 +270,12 @@
         ]
 
     traces = [seen(told("x", 0)), seen([*told("x", 10_000), *told("y", 10_000)]), seen(told("y", 30_000))]
-    known = {(a, b): estimate(traces[a], traces[b]) for a in range(3) for b in range(a + 1, 3)}
-    chain = clocks.common(known, 3)
+    known = {(a, b): estimate_offset(traces[a], traces[b]) for a in range(3) for b in range(a + 1, 3)}
+    chain = clocks.spanning_tree(known, 3)
     assert [parent for _, parent in chain] == [0, 0, 1]
     at = START + 30_000
-    for step in clocks.correction(chain, 2):
-        at += step.at(at)
+    for step in clocks.path_to_reference(chain, 2):
+        at += step.correction_us(at)
     assert abs(at - START) <= 2
 
 
@@ -291,7 +291,7 @@
     err = capfd.readouterr().err
     assert "b.trace: +4" in err and "against a.trace" in err and "c.trace: NOT ALIGNED" in err
     got = load(out)
-    times = list(map(corrected, got))
+    times = list(map(corrected_time, got))
     assert times == sorted(times)
     assert sorted(r.at for r in got) == sorted(r.at for r in [*here, *there, Logged("info", "x", at=START)])
     moved = {r.adj for r in got}
@@ -321,7 +321,9 @@
         h.host.encode() for r in ROWS if isinstance(r, Listed) for h in r.hosts
     }
     with Reader(outs[0]) as reader:
-        raw = b"".join(frames.Unpacker().raw(p.frame, reader._body(p)) for p in reader.places())
+        raw = b"".join(
+            frames.BlockDecoder().decompress(p.frame, reader._read_body(p)) for p in reader.block_locations()
+        )
         raw += b"".join(to_json(r) for r in reader.read()) + json.dumps(reader.description).encode()
     assert not [v for v in originals if v in raw or (len(v) == 16 and bytes.fromhex(v.decode()) in raw)]
     hidden = [[r for r in load(out) if isinstance(r, Request)] for out in outs]
@@ -340,7 +342,7 @@
     (tmp_path / "key").write_bytes(bytes(32))
     assert run("anonymise", source, "-o", tmp_path / "out", "--key-file", tmp_path / "key") == 2
     err = capfd.readouterr().err
-    assert "a tenant also stands in a field that is kept" in err and "museum" not in err.replace("museum-feed", "")
+    assert "a tenant also appears in a field that is kept" in err and "museum" not in err.replace("museum-feed", "")
     assert not (tmp_path / "out").exists() and len(os.listdir(tmp_path)) == 2
 
 
@@ -363,9 +365,9 @@
     rows = list(csv.DictReader(io.StringIO(capfd.readouterr().out)))
     assert rows[0]["by"] == "total" and int(rows[0]["requests"]) == len(asked)
     assert run("summarise", trace) == 0 and "moves: " in capfd.readouterr().out
-    monkeypatch.setattr(summary, "MOST_WINDOWS", 50)
+    monkeypatch.setattr(summary, "MAX_WINDOWS", 50)
     assert run("summarise", trace, "--window", "0.1") == 2
-    assert capfd.readouterr().err == "bramblestile: more than 50 windows: choose wider ones\n"
+    assert capfd.readouterr().err == "bramblestile: more than 50 windows: choose a longer window\n"
 
 
 def test_diff_shows_what_chance_does_not_explain(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
@@ -386,4 +388,4 @@
     assert run("story", trace, asked.id) == 0
     out = capfd.readouterr().out
     assert f"class {asked.cls}, tenant {asked.tenant}" in out and "of the draw (weight 256)" in out
-    assert "answered: served" in out and "told " in out and "-> s-" in out
+    assert "answered: served" in out and " reported " in out and "-> s-" in out
