--- a/benchmarks/trace_kill.py
+++ b/benchmarks/trace_kill.py
@@ -1,7 +1,6 @@
-"""Kills a tracing program under load at random moments and looks for what is missing from its trace.
+"""Kill a tracing program under load at random moments and look for records missing from its trace.
 
-Every record older than a flush span must be there. A request's steps must be there in order, with none missing before
-one that is there.
+Every record older than a flush interval must be there, and so must every step of a request before one that is there.
 """
 
 from __future__ import annotations
@@ -13,28 +12,28 @@
 import click
 
 from tests.load import Hosts
-from tests.test_trace_daemon import kill_at, missing_before
+from tests.test_trace_daemon import find_missing, run_until_killed
 
 
 @click.command()
 @click.option("--times", default=50, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def main(times: int, seed: int) -> None:
-    """Kill -9 and count what is lost."""
-    r, hosts, records, wrong = Random(seed), Hosts(3), 0, 0
+    """Kill -9 repeatedly and count the missing records."""
+    rng, hosts, records, missing_count = Random(seed), Hosts(3), 0, 0
     latest = 0
     for _ in range(times):
         with tempfile.TemporaryDirectory() as folder:
-            rows, at = kill_at(Path(folder), hosts, r.uniform(0.3, 1.5))
-            missing = missing_before(rows, at)
-            records += len(rows)
-            wrong += len(missing)
-            latest = max(latest, at - max(row.at for row in rows))
+            found, killed_at = run_until_killed(Path(folder), hosts, rng.uniform(0.3, 1.5))
+            missing = find_missing(found, killed_at)
+            records += len(found)
+            missing_count += len(missing)
+            latest = max(latest, killed_at - max(record.at for record in found))
             for line in missing[:3]:
                 click.echo(line)
     click.echo(
-        f"{times} kills, {records} records read back, {wrong} missing; at most {latest / 1000:.0f} ms from the "
-        "last record to the kill (flush span 50 ms)"
+        f"{times} kills, {records} records read back, {missing_count} missing; at most {latest / 1000:.0f} ms from the "
+        "last record to the kill (flush interval 50 ms)"
     )
     hosts.stop()
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,8 @@
-"""A stand-in fleet in simulated time, for traces of a realistic mix: the balancer's own decisions, drawn loads.
+"""A simulated fleet that yields the trace records of one balancer.
 
-Not a simulator of performance: hosts have slots, a load that follows what they hold, and a time that their answers
-take; some die, some drain. What a trace holds of it is recorded by the daemon's own ``Recorder`` methods.
+The decisions are those of the real balancing module, and the records are built by the daemon's own ``RecordBuilder``.
+It does not simulate performance: hosts have slots, a load that follows from their connections, and a response time;
+some die, some drain.
 """
 
 from __future__ import annotations
@@ -34,46 +35,53 @@
 
 @dataclass(slots=True)
 class Host:
+    """An image server."""
+
     name: str
     slots: int
     zone: str
-    held: int = 0
+    connections: int = 0
     dead: bool = False
     draining: bool = False
 
     def load(self) -> float:
-        return self.held / self.slots
+        """Return the load that a probe reports."""
+        return self.connections / self.slots
 
 
 @dataclass(slots=True)
 class Client:
+    """An open request and its connection."""
+
     request: api.Request
-    arrived: int
+    arrived_us: int
     host: Host | None = None
     number: int = 0
-    began: int = 0
+    started_us: int = 0
 
 
 @dataclass
 class Fleet:
-    """Plays on and on; ``records`` yields what a balancer's recorder would have been told."""
+    """An endless simulation."""
 
     hosts: int = 24
     rate: float = 20.0  # requests a second at this balancer
     seed: int = 1
     instance: str = "n1"
-    skew_us: int = 0  # how far this instance's clock is off, and how it drifts
+    skew_us: int = 0  # offset and drift of this instance's clock
     drift: float = 0.0
-    script: tuple[tuple[float, str, str], ...] = ()  # seconds from the start, drain or die, a host's number
-    out: list[Record] = field(default_factory=list)
+    script: tuple[tuple[float, str, str], ...] = ()  # (seconds from the start, drain, die or back, index of the host)
+    new_records: list[Record] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.all = {
-            f"s-{n * 2654435761 % 2**32:08x}": Host(
-                f"s-{n * 2654435761 % 2**32:08x}", 12 + n % 5 * 6, "bergen-hall" if n % 2 else "trondheim-hall"
+        self.hosts_by_name = {
+            f"s-{index * 2654435761 % 2**32:08x}": Host(
+                f"s-{index * 2654435761 % 2**32:08x}",
+                12 + index % 5 * 6,
+                "bergen-hall" if index % 2 else "trondheim-hall",
             )
-            for n in range(self.hosts)
+            for index in range(self.hosts)
         }
         settings = api.Settings(
             classes=CLASSES,
@@ -86,176 +94,200 @@
             max_retry_after_us=1_000_000,
         )
         self.balancer = RecordingBalancer(settings, self.seed)
-        self.shape = RecordBuilder(self.out.append)
-        self.balancer.recording, self.balancer.make_candidate = True, self.shape.belief
+        self.builder = RecordBuilder(self.new_records.append)
+        self.balancer.recording, self.balancer.make_candidate = True, self.builder.belief
         self.now = START
         self.queue: list[tuple[int, int, str, Any]] = []
-        self.count = itertools.count()
+        self.sequence = itertools.count()
         self.clients: dict[str, Client] = {}
-        self.later(0, "list", None)
-        self.later(1000, "arrive", None)
-        for seconds, what, host in self.script:
-            self.later(round(seconds * 1e6), what, list(self.all.values())[int(host)])
+        self.schedule(0, "list", None)
+        self.schedule(1000, "arrive", None)
+        for seconds, event, host in self.script:
+            self.schedule(round(seconds * 1e6), event, list(self.hosts_by_name.values())[int(host)])
 
-    def later(self, us: float, what: str, about: Any) -> None:
-        heapq.heappush(self.queue, (self.now + round(us), next(self.count), what, about))
+    def schedule(self, us: float, event: str, subject: Any) -> None:
+        """Call the method ``on_<event>`` with ``subject`` after ``us`` microseconds."""
+        heapq.heappush(self.queue, (self.now + round(us), next(self.sequence), event, subject))
 
     def clock(self) -> timedelta:
-        """By this instance's own clock. Each step of a program takes its time: no two records have the same."""
+        """Return the time by this instance's own clock.
+
+        Each call advances the time a little, so that no two records have the same one.
+        """
         self.now += self.random.randrange(15, 90)
         return (self.now + self.skew_us + round((self.now - START) * self.drift)) * MICROSECOND
 
     def records(self) -> Iterator[Record]:
+        """Yield the records that a recorder in this balancer would write."""
         while True:
-            self.now, _, what, about = heapq.heappop(self.queue)
-            getattr(self, "on_" + what)(about)
-            for record in self.out:
+            self.now, _, event, subject = heapq.heappop(self.queue)
+            getattr(self, "on_" + event)(subject)
+            for record in self.new_records:
                 record.src = self.instance
-            yield from self.out
-            self.out.clear()
+            yield from self.new_records
+            self.new_records.clear()
 
-    def tell(self, event: api.Event) -> None:
-        at = self.clock()
-        actions = self.balancer.handle(at // MICROSECOND, event)
+    def handle(self, event: api.Event) -> None:
+        """Pass an event to the balancing module, record it, and execute the resulting actions."""
+        now = self.clock()
+        actions = self.balancer.handle(now // MICROSECOND, event)
         if isinstance(event, api.ProbeResult):
-            self.shape.probed(at, "lines", event)
+            self.builder.probed(now, "lines", event)
         elif isinstance(event, api.Note):
-            self.shape.note(at, event)
+            self.builder.note(now, event)
         elif isinstance(event, api.BackendList):
-            self.shape.listed(at, "lines", event)
+            self.builder.listed(now, "lines", event)
         for view in self.balancer.decisions:
-            self.shape.decision(at, view)
+            self.builder.decision(now, view)
         for action in actions:
-            self.carry_out(action, event)
+            self.execute(action, event)
 
-    def carry_out(self, action: api.Action, event: api.Event) -> None:
+    def execute(self, action: api.Action, event: api.Event) -> None:
+        """Simulate one action."""
         client = self.clients.get(getattr(action, "id", ""))
         if isinstance(action, api.Probe):
-            self.shape.probe_sent(self.clock(), "lines", action.backend)
-            self.later(self.random.lognormvariate(7, 0.5), "probed", (action.backend, self.now))
+            self.builder.probe_sent(self.clock(), "lines", action.backend)
+            self.schedule(self.random.lognormvariate(7, 0.5), "probed", (action.backend, self.now))
         elif isinstance(action, api.SetTimer):
-            self.later(action.after_us, "timer", action.token)
+            self.schedule(action.after_us, "timer", action.token)
         elif client is None:
             return
         elif isinstance(action, api.Attempt):
-            host, took = self.all[action.backend], self.random.lognormvariate(8.6, 0.6)
-            full = host.held >= host.slots or host.draining
+            host, took_us = self.hosts_by_name[action.backend], self.random.lognormvariate(8.6, 0.6)
+            full = host.connections >= host.slots or host.draining
             status = "timed_out" if host.dead else "no_room" if full else "up"
-            left = action.until_us - self.clock() // MICROSECOND
-            self.later(left if host.dead else took, "tried", (client, host, status, self.now))
+            remaining_us = action.until_us - self.clock() // MICROSECOND
+            self.schedule(remaining_us if host.dead else took_us, "attempt_end", (client, host, status, self.now))
         elif isinstance(action, api.Refuse):
-            self.answered(client, "refused", wait_us=action.retry_after_us)
+            self.record_answer(client, "refused", wait_us=action.retry_after_us)
         elif isinstance(action, api.Fail):
-            self.answered(client, "failed")
+            self.record_answer(client, "failed")
         elif isinstance(action, api.Move) and client.host is not None:
-            self.shape.moved(self.clock(), action.id, client.host.name, reason(event))
-            self.later(2_000, "ended", (client, "cancelled", True))
+            self.builder.moved(self.clock(), action.id, client.host.name, reason(event))
+            self.schedule(2_000, "ended", (client, "cancelled", True))
 
-    def answered(self, client: Client, outcome: str, host: str | None = None, wait_us: int | None = None) -> None:
-        took = (self.now - client.arrived) * MICROSECOND
-        self.shape.answer(
+    def record_answer(self, client: Client, outcome: str, host: str | None = None, wait_us: int | None = None) -> None:
+        """Record the final answer to a request."""
+        took = (self.now - client.arrived_us) * MICROSECOND
+        self.builder.answer(
             self.clock(), client.request, outcome, client.number + (outcome == "served"), took, host, wait_us
         )
         if outcome != "served":
             del self.clients[client.request.id]
 
-    def ask(self, key: int, is_return: bool) -> None:
-        r = self.random
-        cls = CLASSES[key % len(CLASSES)]
+    def send_request(self, key: int, is_return: bool) -> None:
+        """Let the client with this key send a request."""
+        rng = self.random
+        request_class = CLASSES[key % len(CLASSES)]
         group = (key % 800 + 1) * 0x9E3779B97F4A7C15 % 2**64  # clients of one collection
         request = api.Request(
-            f"{r.getrandbits(64):016x}",
-            cls.name,
-            cls.deadline_us - 15_000,
+            f"{rng.getrandbits(64):016x}",
+            request_class.name,
+            request_class.deadline_us - 15_000,
             TENANTS[key % 7 % len(TENANTS)],
             key,
             group,
             is_return=is_return,
         )
         self.clients[request.id] = Client(request, self.now)
-        self.shape.request(self.clock(), "lines", request, None)
-        self.tell(request)
+        self.builder.request(self.clock(), "lines", request, None)
+        self.handle(request)
 
     # Events.
 
     def on_list(self, _: object) -> None:
-        self.tell(api.BackendList(api.ListMode.COMPLETE, tuple(api.Backend(h.name, h.zone) for h in self.all.values())))
+        """Send the initial host list."""
+        self.handle(
+            api.BackendList(
+                api.ListMode.COMPLETE, tuple(api.Backend(h.name, h.zone) for h in self.hosts_by_name.values())
+            )
+        )
 
     def on_arrive(self, _: object) -> None:
-        self.later(self.random.expovariate(self.rate) * 1e6, "arrive", None)
-        # Nine in ten are clients that have been here before; the rest are new.
-        known = self.random.randrange(20_000) * 0xD6E8FEB86659FD93 % 2**64
-        self.ask(known if self.random.random() < 0.9 else self.random.getrandbits(64), False)
-
-    def on_again(self, key: object) -> None:
+        """Send a request and schedule the next one."""
+        self.schedule(self.random.expovariate(self.rate) * 1e6, "arrive", None)
+        # Nine of ten requests come from a fixed set of clients, the rest from new ones.
+        known_key = self.random.randrange(20_000) * 0xD6E8FEB86659FD93 % 2**64
+        self.send_request(known_key if self.random.random() < 0.9 else self.random.getrandbits(64), False)
+
+    def on_return(self, key: object) -> None:
+        """Let a client come back after a move or a cut."""
         assert isinstance(key, int)
-        self.ask(key, True)
+        self.send_request(key, True)
 
-    def on_probed(self, about: Any) -> None:
-        name, sent = about
-        host = self.all[name]
+    def on_probed(self, subject: Any) -> None:
+        """Send the result of a probe."""
+        name, sent_us = subject
+        host = self.hosts_by_name[name]
         if host.dead:
-            self.tell(api.ProbeResult(name, api.Status.TIMED_OUT, 500_000))
+            self.handle(api.ProbeResult(name, api.Status.TIMED_OUT, 500_000))
             return
         load = round(host.load(), 3)
         report = api.Report(
             load=load,
-            queue=float(max(0, host.held - host.slots + 3)),
+            queue=float(max(0, host.connections - host.slots + 3)),
             latency_ms=round(2 + 30 * load**4 + self.random.random(), 1),
         )
-        self.tell(api.ProbeResult(name, api.Status.SERVED, self.now - sent, report))
+        self.handle(api.ProbeResult(name, api.Status.SERVED, self.now - sent_us, report))
 
     def on_timer(self, token: object) -> None:
-        self.tell(api.TimerFired(str(token)))
-
-    def on_tried(self, about: Any) -> None:
-        client, host, status, sent = about
-        name, took = client.request.id, self.now - sent
-        if name not in self.clients:
+        """Fire a timer."""
+        self.handle(api.TimerFired(str(token)))
+
+    def on_attempt_end(self, subject: Any) -> None:
+        """End an attempt."""
+        client, host, status, sent_us = subject
+        request_id, took_us = client.request.id, self.now - sent_us
+        if request_id not in self.clients:
             return
-        self.shape.attempt(self.clock(), name, client.number, host.name, status, took)
+        self.builder.attempt(self.clock(), request_id, client.number, host.name, status, took_us)
         if status == "up":
-            host.held += 1
-            client.host, client.began = host, self.now
-            self.answered(client, "served", host.name)
-            self.shape.stand(self.clock(), name, host.name, False)
-            self.tell(api.Opened(name, client.number, host.name, took))
-            self.later(self.random.uniform(2, 20) * 1e6, "ended", (client, "served", False))
+            host.connections += 1
+            client.host, client.started_us = host, self.now
+            self.record_answer(client, "served", host.name)
+            self.builder.stand(self.clock(), request_id, host.name, False)
+            self.handle(api.Opened(request_id, client.number, host.name, took_us))
+            self.schedule(self.random.uniform(2, 20) * 1e6, "ended", (client, "served", False))
             return
         number, client.number = client.number, client.number + 1
-        self.tell(api.Outcome(name, number, host.name, api.Status[status.upper()], took, finished=False))
+        self.handle(api.Outcome(request_id, number, host.name, api.Status[status.upper()], took_us, finished=False))
 
-    def on_ended(self, about: Any) -> None:
-        client, status, moved = about
-        name = client.request.id
-        if self.clients.pop(name, None) is None:
+    def on_ended(self, subject: Any) -> None:
+        """End a connection."""
+        client, status, moved = subject
+        request_id = client.request.id
+        if self.clients.pop(request_id, None) is None:
             return
-        client.host.held -= 1
-        took = (self.now - client.began) * MICROSECOND
-        self.shape.ended(self.clock(), name, client.host.name, status, took, moved)
-        self.tell(api.Outcome(name, client.number, client.host.name, api.Status[status.upper()], 0, finished=True))
+        client.host.connections -= 1
+        took = (self.now - client.started_us) * MICROSECOND
+        self.builder.ended(self.clock(), request_id, client.host.name, status, took, moved)
+        self.handle(
+            api.Outcome(request_id, client.number, client.host.name, api.Status[status.upper()], 0, finished=True)
+        )
         if moved or status == "cut":
-            self.later(self.random.uniform(0.02, 0.4) * 1e6, "again", client.request.key)
+            self.schedule(self.random.uniform(0.02, 0.4) * 1e6, "return", client.request.key)
 
     def on_drain(self, host: object) -> None:
-        """Told some milliseconds late, as a watch does."""
+        """Drain a host; the list with its new state arrives some milliseconds later."""
         assert isinstance(host, Host)
         host.draining = True
-        self.later(self.random.uniform(0, 4_000), "told", host)
+        self.schedule(self.random.uniform(0, 4_000), "announce", host)
 
-    def on_told(self, host: object) -> None:
+    def on_announce(self, host: object) -> None:
+        """Send a list with the new state of a host."""
         assert isinstance(host, Host)
         state = api.State.DRAINING if host.draining else api.State.RUNNING
-        self.tell(api.BackendList(api.ListMode.CHANGES, (api.Backend(host.name, host.zone, state=state),)))
+        self.handle(api.BackendList(api.ListMode.CHANGES, (api.Backend(host.name, host.zone, state=state),)))
 
     def on_back(self, host: object) -> None:
+        """Bring a host back into service."""
         assert isinstance(host, Host)
         host.draining = host.dead = False
-        self.later(self.random.uniform(0, 4_000), "told", host)
+        self.schedule(self.random.uniform(0, 4_000), "announce", host)
 
     def on_die(self, host: object) -> None:
-        """It cuts all that it held."""
+        """Let a host die, cutting all its connections."""
         assert isinstance(host, Host)
         host.dead = True
         for client in [c for c in self.clients.values() if c.host is host]:
-            self.later(self.random.uniform(0, 2_000), "ended", (client, "cut", False))
+            self.schedule(self.random.uniform(0, 2_000), "ended", (client, "cut", False))
--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -1,4 +1,4 @@
-"""The program traces itself: its own counters, a kill, a reload, and a folder that is not there."""
+"""Tests of tracing in the daemon: its counters, a kill, a reload, and a missing folder."""
 
 from __future__ import annotations
 
@@ -22,142 +22,148 @@
 
 @pytest.fixture
 def hosts() -> Iterator[Hosts]:
-    made = Hosts(3)
-    yield made
-    made.stop()
+    stand_ins = Hosts(3)
+    yield stand_ins
+    stand_ins.stop()
 
 
-def plan(folder: Path, **more: object) -> dict[str, object]:
-    return {"directory": str(folder), "flush_ms": 50, **more}
+def trace_config(folder: Path, **settings: object) -> dict[str, object]:
+    return {"directory": str(folder), "flush_ms": 50, **settings}
 
 
-def traced(folder: Path) -> list[Record]:
-    out: list[Record] = []
+def read_traces(folder: Path) -> list[Record]:
+    records: list[Record] = []
     for path in sorted(folder.glob("*.trace")):
         with Reader(path) as reader:
-            out += reader.read()
+            records += reader.read()
             assert not reader.damage_count, reader.damage
-    return out
+    return records
 
 
-def test_the_figures_of_a_trace_are_the_programs_own_counters(tmp_path: Path, hosts: Hosts) -> None:
+def test_the_summary_of_a_trace_matches_the_daemons_counters(tmp_path: Path, hosts: Hosts) -> None:
     hosts.mode["h1"] = "full"
-    with running(tmp_path, hosts, trace=plan(tmp_path)) as program:
-        got = load(program.address, 300)
-        program.signal(1)  # SIGHUP: a reload in the middle is in it too
+    with running(tmp_path, hosts, trace=trace_config(tmp_path)) as program:
+        answers = load(program.address, 300)
+        program.signal(1)  # SIGHUP: the trace also includes a reload
         program.wait_for("reload")
-        assert sum(got.values()) == 300 and got["UP"] > 50
+        assert sum(answers.values()) == 300 and answers["UP"] > 50
         counters = program.stop()
-    rows = traced(tmp_path)
-    made = Summary()
-    made.add_all(rows)
-    told = made.as_counters()
-    assert told == {name: counters[name] for name in told} and told["requests"] == 300
-    assert not {n for n in counters if n.startswith(("answered_", "ended_"))} - set(told)
-    assert isinstance(rows[0], Started) and isinstance(rows[-1], Stopped) and rows[-1].standing == 0
-    assert [r.taken for r in rows if isinstance(r, Reloaded)] == [True]
-    assert sum(made.statuses.values()) == counters["upstream_requests"]
-    # Why did it go there, and what was believed of that host? From the file alone.
-    for decision in (r for r in rows if isinstance(r, Decision) and r.what == "attempt"):
+    records = read_traces(tmp_path)
+    summary = Summary()
+    summary.add_all(records)
+    counted = summary.as_counters()
+    assert counted == {name: counters[name] for name in counted} and counted["requests"] == 300
+    assert not {n for n in counters if n.startswith(("answered_", "ended_"))} - set(counted)
+    assert isinstance(records[0], Started) and isinstance(records[-1], Stopped) and records[-1].standing == 0
+    assert [r.taken for r in records if isinstance(r, Reloaded)] == [True]
+    assert sum(summary.statuses.values()) == counters["upstream_requests"]
+    # The file alone shows the figures that the chosen host was chosen by.
+    for decision in (r for r in records if isinstance(r, Decision) and r.what == "attempt"):
         chosen = next(c for c in decision.candidates if c.host == decision.host)
         assert chosen.weight is not None and chosen.load is not None and chosen.load_at > 0
 
 
-def stories(rows: list[Record]) -> dict[str, list[str]]:
-    out: dict[str, list[str]] = {}
-    for row in rows:
-        if getattr(row, "id", None) and not isinstance(row, Logged):
-            out.setdefault(row.id, []).append(type(row).__name__)  # type: ignore[attr-defined]
-    return out
+def kinds_by_request(records: list[Record]) -> dict[str, list[str]]:
+    kinds: dict[str, list[str]] = {}
+    for record in records:
+        if getattr(record, "id", None) and not isinstance(record, Logged):
+            kinds.setdefault(record.id, []).append(type(record).__name__)  # type: ignore[attr-defined]
+    return kinds
 
 
-def kill_at(folder: Path, hosts: Hosts, seconds: float) -> tuple[list[Record], int]:
-    """A traced program, killed under load at that moment; its records, and the time of the kill."""
-    program = Program(folder, hosts, trace=plan(folder))
+def run_until_killed(folder: Path, hosts: Hosts, seconds: float) -> tuple[list[Record], int]:
+    """Kill a tracing daemon under load after ``seconds``; return its records and the time of the kill."""
+    program = Program(folder, hosts, trace=trace_config(folder))
     try:
         program.wait_until_up()
         loading = threading.Thread(target=load, args=(program.address, 100_000), kwargs={"within": seconds + 5.0})
         loading.start()
         time.sleep(seconds)
         program.process.kill()
-        at = time.time_ns() // 1000
+        killed_at = time.time_ns() // 1000
     finally:
         program.kill()
     loading.join()
-    rows: list[Record] = []
+    records: list[Record] = []
     for path in sorted(folder.glob("*.trace")):
         with Reader(path) as reader:
-            rows += reader.read()
-    return rows, at
+            records += reader.read()
+    return records, killed_at
 
 
-def missing_before(rows: list[Record], killed_at: int, flush_us: int = 50_000) -> list[str]:
-    """Stories of which a step is missing though a later one is there, or which break off before the last flushes.
-    A killed program loses at most its last flush; 250 ms are for a busy machine's late writer."""
+def find_missing(records: list[Record], killed_at: int, flush_us: int = 50_000) -> list[str]:
+    """Return a description of each record that is missing though it should have been flushed.
+
+    These are steps of a request that are missing before a later one, and requests that end too early. A killed daemon
+    loses at most its last flush; 250 ms are allowed for a late writer thread on a busy machine.
+    """
     steps = ["Request", "Decision", "Attempt", "Answer", "Stand", "Ended"]
-    wrong = []
-    last = max(r.at for r in rows)
-    if killed_at - last > flush_us + 250_000:
-        wrong.append(f"nothing in the last {killed_at - last} us")
+    missing = []
+    last_us = max(r.at for r in records)
+    if killed_at - last_us > flush_us + 250_000:
+        missing.append(f"nothing in the last {killed_at - last_us} us")
     by_id: dict[str, list[Record]] = {}
-    for row in rows:
-        if isinstance(getattr(row, "id", None), str) and not isinstance(row, Logged):
-            by_id.setdefault(row.id, []).append(row)  # type: ignore[attr-defined]
-    for name, told in by_id.items():
-        kinds = [type(r).__name__ for r in told]
-        end = told[-1].at
-        if any(isinstance(r, Answer) and r.outcome != "served" for r in told):
-            continue  # refused without an attempt
-        for before, after in pairwise(steps):
-            if after in kinds and before not in kinds:
-                wrong.append(f"{name}: {after} without {before}")
+    for record in records:
+        if isinstance(getattr(record, "id", None), str) and not isinstance(record, Logged):
+            by_id.setdefault(record.id, []).append(record)  # type: ignore[attr-defined]
+    for request_id, request_records in by_id.items():
+        kinds = [type(r).__name__ for r in request_records]
+        end_us = request_records[-1].at
+        if any(isinstance(r, Answer) and r.outcome != "served" for r in request_records):
+            continue  # refused, possibly without an attempt
+        for earlier, later in pairwise(steps):
+            if later in kinds and earlier not in kinds:
+                missing.append(f"{request_id}: {later} without {earlier}")
         if (
-            isinstance(told[-1], (Request, Decision, Answer))
-            and not isinstance(told[-1], Ended)
-            and (last - end > 2_000_000)
+            isinstance(request_records[-1], (Request, Decision, Answer))
+            and not isinstance(request_records[-1], Ended)
+            and (last_us - end_us > 2_000_000)
         ):
-            wrong.append(f"{name}: breaks off at {kinds[-1]}")
-    return wrong
+            missing.append(f"{request_id}: breaks off at {kinds[-1]}")
+    return missing
 
 
-def test_a_killed_program_loses_its_last_flush_and_no_more(tmp_path: Path, hosts: Hosts) -> None:
-    r = Random(5)
-    for n in range(3):
-        folder = tmp_path / str(n)
+def test_a_killed_daemon_loses_at_most_its_last_flush(tmp_path: Path, hosts: Hosts) -> None:
+    rng = Random(5)
+    for run in range(3):
+        folder = tmp_path / str(run)
         folder.mkdir()
-        rows, at = kill_at(folder, hosts, r.uniform(0.4, 1.2))
-        assert len(rows) > 50 and missing_before(rows, at) == []
+        records, killed_at = run_until_killed(folder, hosts, rng.uniform(0.4, 1.2))
+        assert len(records) > 50 and find_missing(records, killed_at) == []
 
 
-def test_sighup_switches_tracing_on_and_off_and_no_request_notices(tmp_path: Path, hosts: Hosts) -> None:
+def test_sighup_switches_tracing_on_and_off_without_affecting_requests(tmp_path: Path, hosts: Hosts) -> None:
     folder = tmp_path / "t"
     folder.mkdir()
     with running(tmp_path, hosts) as program:
-        assert sum(load(program.address, 20).values()) == 20 and traced(folder) == []
-        assert program.reload(trace=plan(folder))["text"] == "done"
-        traced_ = load(program.address, 20, seed=2)
+        assert sum(load(program.address, 20).values()) == 20 and read_traces(folder) == []
+        assert program.reload(trace=trace_config(folder))["text"] == "done"
+        answers = load(program.address, 20, seed=2)
         assert program.reload(trace=None)["text"] == "done"
         assert sum(load(program.address, 20, seed=3).values()) == 20
-        rows = traced(folder)
-        assert sum(isinstance(r, Request) for r in rows) == 20
-        assert sum(isinstance(r, Ended) for r in rows) == traced_["UP"] > 0
-        assert "keep.nobody: no class of this name" in program.reload(trace=plan(folder, keep={"nobody": 1}))["text"]
+        records = read_traces(folder)
+        assert sum(isinstance(r, Request) for r in records) == 20
+        assert sum(isinstance(r, Ended) for r in records) == answers["UP"] > 0
+        assert (
+            "keep.nobody: no class of this name"
+            in program.reload(trace=trace_config(folder, keep={"nobody": 1}))["text"]
+        )
 
 
-def test_a_folder_that_is_not_there_delays_nothing_and_is_used_once_it_is(tmp_path: Path, hosts: Hosts) -> None:
+def test_a_missing_folder_delays_nothing_and_is_used_once_it_exists(tmp_path: Path, hosts: Hosts) -> None:
     folder = tmp_path / "later"
-    with running(tmp_path, hosts, trace=plan(folder)) as program:
+    with running(tmp_path, hosts, trace=trace_config(folder)) as program:
         assert sum(load(program.address, 30).values()) == 30
         assert program.wait_for("trace not written")["part"] == "trace"
         folder.mkdir()
         end = time.monotonic() + 10
-        while program.counters().get("trace_records", 0) == 0:  # the folder is tried again within a second or two
+        while program.counters().get("trace_records", 0) == 0:  # the folder is retried within two seconds
             assert time.monotonic() < end and sum(load(program.address, 5, seed=2).values()) == 5
         counters = program.stop()
-    assert counters["trace_lost"] > 30 and any(isinstance(r, Answer) for r in traced(folder))
+    assert counters["trace_lost"] > 30 and any(isinstance(r, Answer) for r in read_traces(folder))
 
 
-def test_the_platforms_program_loads_none_of_the_libraries(tmp_path: Path) -> None:
+def test_the_platform_daemon_loads_no_optional_library(tmp_path: Path) -> None:
     code = (
         "import sys; from bramblestile import __main__; from bramblestile.process import daemon; "
         "import json; print(json.dumps(sorted(sys.modules)))"
@@ -167,15 +173,17 @@
     assert not libraries & set(json.loads(out))
 
 
-def test_a_request_that_failed_is_kept_though_its_class_is_not(tmp_path: Path, hosts: Hosts) -> None:
+def test_a_refused_request_is_kept_despite_a_share_of_zero(tmp_path: Path, hosts: Hosts) -> None:
     hosts.mode.update(dict.fromkeys(hosts.names, "full"))
-    with running(tmp_path, hosts, trace=plan(tmp_path, keep={"feed": 0, "edit": 0})) as program:
+    with running(tmp_path, hosts, trace=trace_config(tmp_path, keep={"feed": 0, "edit": 0})) as program:
         refused = load(program.address, 30)
         hosts.mode.clear()
         served = load(program.address, 30, seed=2)
         assert refused["BUSY"] == 30 and served["UP"] > 0
         program.stop()
-    made = Summary()
-    made.add_all(traced(tmp_path))
-    assert made.total.counts["refused"] == 30 + served["BUSY"] and made.total.counts["served"] == 0
-    assert all({"Request", "Decision", "Answer"} <= set(kinds) for kinds in stories(traced(tmp_path)).values())
+    summary = Summary()
+    summary.add_all(read_traces(tmp_path))
+    assert summary.total.counts["refused"] == 30 + served["BUSY"] and summary.total.counts["served"] == 0
+    assert all(
+        {"Request", "Decision", "Answer"} <= set(kinds) for kinds in kinds_by_request(read_traces(tmp_path)).values()
+    )
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -1,4 +1,4 @@
-"""The trace format: what goes in comes out, and what is damaged costs its block and nothing else."""
+"""Tests of the trace format: records survive encoding, and damage costs only the damaged blocks."""
 
 from __future__ import annotations
 
@@ -36,24 +36,26 @@
 SCRIPT = ((1, "drain", "3"), (2, "die", "5"), (4, "back", "3"))
 
 
-def some(count: int, **more: Any) -> list[Record]:
-    return list(itertools.islice(Fleet(script=SCRIPT, rate=80.0, **more).records(), count))
+def fleet_records(count: int, **settings: Any) -> list[Record]:
+    return list(itertools.islice(Fleet(script=SCRIPT, rate=80.0, **settings).records(), count))
 
 
-ROWS = some(1500)
+ROWS = fleet_records(1500)
 
 
-def write(path: Path, records: list[Record], block: int = 100, layout: int = frames.COLUMNS, **told: Any) -> Path:
+def write(
+    path: Path, records: list[Record], block: int = 100, layout: int = frames.COLUMNS, **description: Any
+) -> Path:
     with open(path, "wb") as file:
-        writer = Writer(file, told, level=1, block_records=block, layout=layout)
+        writer = Writer(file, description, level=1, block_records=block, layout=layout)
         writer.extend(records)
         writer.flush()
     return path
 
 
-def read(path: Path, wanted: Query | None = None) -> tuple[list[Record], Reader]:
+def read(path: Path, query: Query | None = None) -> tuple[list[Record], Reader]:
     with Reader(path) as reader:
-        return list(reader.read(wanted)), reader
+        return list(reader.read(query)), reader
 
 
 INTS = st.integers(-(1 << 63), (1 << 64) - 1)
@@ -61,36 +63,42 @@
 TEXTS = ("", "0a1b2c3d", "s-be1e0823", "år", "\n\0", "0a1b2c3e")
 
 
-def drawn(shape: schema.StructSchema, r: random.Random) -> Any:
-    """A struct with a value of each field's type, odd ones among them."""
+def random_struct(struct_schema: schema.StructSchema, rng: random.Random) -> Any:
+    """Return a struct with random values, including unusual ones."""
 
-    def one(column: schema.Column) -> Any:
-        if column.nullable and r.random() < 0.5:
+    def value_for(column: schema.Column) -> Any:
+        if column.nullable and rng.random() < 0.5:
             return None
         if column.item_schema is not None:
-            return [drawn(column.item_schema, r) for _ in range(r.randrange(4))]
+            return [random_struct(column.item_schema, rng) for _ in range(rng.randrange(4))]
         return {
-            schema.INT: r.choice((0, 1, -1, r.randrange(1000), r.getrandbits(60))),
-            schema.TEXT: r.choice(TEXTS),
-            schema.FLOAT: r.choice(FLOATS),
-            schema.FLAG: r.random() < 0.5,
+            schema.INT: rng.choice((0, 1, -1, rng.randrange(1000), rng.getrandbits(60))),
+            schema.TEXT: rng.choice(TEXTS),
+            schema.FLOAT: rng.choice(FLOATS),
+            schema.FLAG: rng.random() < 0.5,
         }[column.type]
 
-    fields = {column.name: one(column) for column in shape.columns}
-    if issubclass(shape.cls, Record):
-        fields |= {"at": r.getrandbits(r.choice((1, 60))), "src": r.choice(TEXTS), "adj": r.randrange(-9, 9) << 36}
-    return shape.cls(**fields)
+    fields = {column.name: value_for(column) for column in struct_schema.columns}
+    if issubclass(struct_schema.cls, Record):
+        fields |= {
+            "at": rng.getrandbits(rng.choice((1, 60))),
+            "src": rng.choice(TEXTS),
+            "adj": rng.randrange(-9, 9) << 36,
+        }
+    return struct_schema.cls(**fields)
 
 
 @LAYOUTS
 @pytest.mark.parametrize("seed", range(30))
-def test_every_record_comes_back_as_it_was(layout: int, seed: int) -> None:
-    r = random.Random(seed)
-    records = [drawn(schema.SCHEMAS[r.choice(KINDS)], r) for _ in range(r.choice((1, 3, 40)))]
+def test_every_record_survives_encoding(layout: int, seed: int) -> None:
+    rng = random.Random(seed)
+    records = [random_struct(schema.SCHEMAS[rng.choice(KINDS)], rng) for _ in range(rng.choice((1, 3, 40)))]
     unknown = UnknownCounts()
-    raw = payload.encode(records) if layout == frames.COLUMNS else rows.encode(records)
-    got = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
-    assert list(map(repr, got)) == list(map(repr, records)) and not unknown.counts
+    payload_bytes = payload.encode(records) if layout == frames.COLUMNS else rows.encode(records)
+    decoded = (
+        payload.decode(payload_bytes, unknown) if layout == frames.COLUMNS else rows.decode(payload_bytes, unknown)
+    )
+    assert list(map(repr, decoded)) == list(map(repr, records)) and not unknown.counts
 
 
 def test_json_lines_are_lossless() -> None:
@@ -99,7 +107,7 @@
 
 @settings(deadline=None)
 @given(st.lists(INTS, min_size=1, max_size=40), st.lists(st.integers(0, 3), min_size=40, max_size=40))
-def test_whole_numbers(values: list[int], keys: list[int]) -> None:
+def test_integers(values: list[int], keys: list[int]) -> None:
     try:
         plain, keyed = columns.encode_ints(values), columns.encode_ints(values, keys[: len(values)])
     except ColumnError:
@@ -124,143 +132,143 @@
         [1e15, 0.1],
     ],
 )
-def test_fractions_keep_every_bit(values: list[float]) -> None:
-    got = columns.decode_floats(Cursor(columns.encode_floats(values)), len(values))
-    assert [v.hex() for v in got] == [v.hex() for v in values]
+def test_floats_keep_every_bit(values: list[float]) -> None:
+    decoded = columns.decode_floats(Cursor(columns.encode_floats(values)), len(values))
+    assert [v.hex() for v in decoded] == [v.hex() for v in values]
 
 
 @LAYOUTS
-def test_a_window_a_request_and_a_host_are_found_and_nothing_else(tmp_path: Path, layout: int) -> None:
+def test_queries_by_window_request_host_and_class(tmp_path: Path, layout: int) -> None:
     path = write(tmp_path / "t.trace", ROWS, layout=layout)
     assert read(path)[0] == ROWS
     since, until = ROWS[400].at, ROWS[900].at
     assert read(path, Query(since, until))[0] == [r for r in ROWS if since <= r.at < until]
-    asked = next(r for r in ROWS[300:] if isinstance(r, Request))
-    assert read(path, Query(id=asked.id))[0] == [r for r in ROWS if getattr(r, "id", None) == asked.id]
+    request = next(r for r in ROWS[300:] if isinstance(r, Request))
+    assert read(path, Query(id=request.id))[0] == [r for r in ROWS if getattr(r, "id", None) == request.id]
     host = next(r.host for r in ROWS if isinstance(r, Decision) and r.host)
-    got = read(path, Query(host=host))[0]
-    told = [r for r in ROWS if host.encode() in to_json(r)]
-    assert got == told and len(got) > 20
-    ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == asked.cls}
-    assert read(path, Query(since, until, cls=asked.cls))[0] == [
+    found = read(path, Query(host=host))[0]
+    expected = [r for r in ROWS if host.encode() in to_json(r)]
+    assert found == expected and len(found) > 20
+    ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == request.cls}
+    assert read(path, Query(since, until, cls=request.cls))[0] == [
         r for r in ROWS if since <= r.at < until and getattr(r, "id", None) in ids
     ]
 
 
-def test_a_request_is_found_by_the_index_without_reading_the_other_blocks(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_query_by_request_decodes_only_its_blocks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = write(tmp_path / "t.trace", ROWS, block=50)
-    asked = next(r for r in ROWS if isinstance(r, Request))
-    read_blocks: list[int] = []
-    plain = frames.BlockDecoder.decode
+    request = next(r for r in ROWS if isinstance(r, Request))
+    decoded_blocks: list[int] = []
+    original = frames.BlockDecoder.decode
 
-    def counted(self: frames.BlockDecoder, frame: frames.Frame, *more: Any) -> list[Record]:
-        read_blocks.append(frame.number)
-        return plain(self, frame, *more)
+    def counting(self: frames.BlockDecoder, frame: frames.Frame, *arguments: Any) -> list[Record]:
+        decoded_blocks.append(frame.number)
+        return original(self, frame, *arguments)
 
-    monkeypatch.setattr(frames.BlockDecoder, "decode", counted)
-    got = read(path, Query(id=asked.id))[0]
-    holding = {n // 50 for n, r in enumerate(ROWS) if getattr(r, "id", None) == asked.id}
-    assert len(got) >= 4 and set(read_blocks) == holding
+    monkeypatch.setattr(frames.BlockDecoder, "decode", counting)
+    found = read(path, Query(id=request.id))[0]
+    holding = {n // 50 for n, r in enumerate(ROWS) if getattr(r, "id", None) == request.id}
+    assert len(found) >= 4 and set(decoded_blocks) == holding
 
 
 # Damage.
 
 
-def sound(got: list[Record], before: list[Record], blocks: int, block: int = 100) -> None:
-    """Whole blocks are missing, at most so many, and nothing is there that was not written."""
-    kept = [before[n : n + block] for n in range(0, len(before), block)]
-    at = 0
+def check_missing_blocks(found: list[Record], written: list[Record], max_missing: int, block: int = 100) -> None:
+    """Check that at most ``max_missing`` whole blocks are missing, and that nothing else was read."""
+    expected_blocks = [written[n : n + block] for n in range(0, len(written), block)]
+    position = 0
     missing = 0
-    for one in kept:
-        if got[at : at + len(one)] == one:
-            at += len(one)
+    for expected in expected_blocks:
+        if found[position : position + len(expected)] == expected:
+            position += len(expected)
         else:
             missing += 1
-    assert at == len(got) and missing <= blocks, (missing, at, len(got))
+    assert position == len(found) and missing <= max_missing, (missing, position, len(found))
 
 
 @LAYOUTS
-def test_cut_at_every_byte_of_its_last_two_blocks(memory_path: Path, layout: int) -> None:
+def test_a_file_truncated_at_any_byte_of_its_last_two_blocks(memory_path: Path, layout: int) -> None:
     path = write(memory_path / "t.trace", ROWS[:230], layout=layout, block=100)
     whole = path.read_bytes()
     with Reader(path) as reader:
-        places = list(reader.block_locations())
-    for end in range(places[1].offset, len(whole)):
+        locations = list(reader.block_locations())
+    for end in range(locations[1].offset, len(whole)):
         path.write_bytes(whole[:end])
-        got, reader = read(path)
-        assert got == ROWS[: 100 if end < places[2].offset else 200]
-        assert reader.damage_count == (0 if end in (places[1].offset, places[2].offset) else 1)
+        found, reader = read(path)
+        assert found == ROWS[: 100 if end < locations[2].offset else 200]
+        assert reader.damage_count == (0 if end in (locations[1].offset, locations[2].offset) else 1)
 
 
 @pytest.mark.parametrize("layout", [frames.COLUMNS, frames.ROWS])
-def test_a_flipped_bit_costs_its_block_and_is_told(memory_path: Path, layout: int) -> None:
+def test_a_flipped_bit_costs_one_block_and_is_reported(memory_path: Path, layout: int) -> None:
     path = write(memory_path / "t.trace", ROWS[:800], layout=layout)
     whole = path.read_bytes()
-    places = random.Random(7)
+    rng = random.Random(7)
     for _ in range(500):
-        at = places.randrange(len(whole))
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << places.randrange(8)]) + whole[at + 1 :])
-        got, reader = read(path)
-        sound(got, ROWS[:800], 1)
-        assert reader.damage_count == 1 and 0 <= reader.damage[0].offset <= at
+        position = rng.randrange(len(whole))
+        path.write_bytes(whole[:position] + bytes([whole[position] ^ 1 << rng.randrange(8)]) + whole[position + 1 :])
+        found, reader = read(path)
+        check_missing_blocks(found, ROWS[:800], 1)
+        assert reader.damage_count == 1 and 0 <= reader.damage[0].offset <= position
 
 
-def test_zeros_at_the_end_and_a_hole_in_the_middle_are_told_with_their_place(tmp_path: Path) -> None:
+def test_zeros_at_the_end_and_in_the_middle_are_reported_with_their_offset(tmp_path: Path) -> None:
     path = write(tmp_path / "t.trace", ROWS[:500])
     whole = path.read_bytes()
     path.write_bytes(whole + bytes(5000))
-    got, reader = read(path)
-    assert got == ROWS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
+    found, reader = read(path)
+    assert found == ROWS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
     with Reader(path) as reader:
         hole = list(reader.block_locations())[2]
     path.write_bytes(whole[: hole.offset + 3] + bytes(hole.frame.size) + whole[hole.offset + 3 + hole.frame.size :])
-    got, reader = read(path)
-    sound(got, ROWS[:500], 2)
+    found, reader = read(path)
+    check_missing_blocks(found, ROWS[:500], 2)
 
 
 @settings(deadline=None, max_examples=150)
 @given(st.data())
-def test_a_reader_raises_nothing_but_its_own_error(data: st.DataObject) -> None:
-    """Payloads whose checksums hold and that make no sense: what a program with a fault, or a foe, would write."""
+def test_invalid_payloads_raise_only_trace_error(data: st.DataObject) -> None:
+    """Payloads with valid checksums and invalid content, as a faulty or malicious program might write."""
     raw = bytearray(payload.encode(ROWS[:60]) if data.draw(st.booleans()) else rows.encode(ROWS[:60]))
     layout = frames.ROWS if raw.startswith(rows._HEADER) else frames.COLUMNS
     for _ in range(data.draw(st.integers(1, 4))):
-        at = data.draw(st.integers(0, len(raw) - 1))
+        position = data.draw(st.integers(0, len(raw) - 1))
         junk = data.draw(st.one_of(st.binary(max_size=12), st.just(b"\xff" * 9 + b"\x01")))
-        raw[at : at + data.draw(st.integers(0, 12))] = junk
-    unpacker, unknown = frames.BlockDecoder(), UnknownCounts()
-    packer = frames.BlockEncoder(1, layout)
-    block = packer.compress(frames.EncodedBlock(bytes(raw), b"", 60, 0, 1, layout), 0)
+        raw[position : position + data.draw(st.integers(0, 12))] = junk
+    decoder, unknown = frames.BlockDecoder(), UnknownCounts()
+    encoder = frames.BlockEncoder(1, layout)
+    block = encoder.compress(frames.EncodedBlock(bytes(raw), b"", 60, 0, 1, layout), 0)
     frame = frames.decode_frame(block)
     assert frame is not None
     try:
-        got = unpacker.decode(frame, block[frames.FRAME_SIZE :], unknown)
+        decoded = decoder.decode(frame, block[frames.FRAME_SIZE :], unknown)
     except TraceError:
         return
-    assert len(got) <= 60
+    assert len(decoded) <= 60
 
 
 @settings(deadline=None, max_examples=80)
 @given(st.binary(max_size=400), st.booleans())
-def test_any_file_is_a_trace_or_is_not(tmp_path_factory: pytest.TempPathFactory, junk: bytes, headed: bool) -> None:
+def test_random_files_raise_only_trace_error(
+    tmp_path_factory: pytest.TempPathFactory, junk: bytes, headed: bool
+) -> None:
     path = tmp_path_factory.mktemp("junk") / "f"
     path.write_bytes((frames.encode_file_header({}) if headed else b"") + junk)
     try:
-        got, _ = read(path)
+        found, _ = read(path)
     except TraceError:
         assert not headed
         return
-    assert got == []
+    assert found == []
 
 
-def test_lengths_that_lie_take_no_memory() -> None:
-    """A frame that claims 4 GB, a block that claims to unpack to it, a column of 2^60 values."""
-    good = frames.decode_frame(frames.BlockEncoder(1).encode_block(ROWS[:5], 0))
-    assert good is not None
-    for lie in ({"raw_bytes": 1 << 31}, {"filter_bytes": 1 << 30}, {"record_count": 1 << 30}):
-        assert frames.decode_frame(replace(good, **lie).encode()) is None
+def test_false_lengths_allocate_no_memory() -> None:
+    """A frame that claims 4 GB, a block that claims to decompress to that, a column of 2^60 values."""
+    frame = frames.decode_frame(frames.BlockEncoder(1).encode_block(ROWS[:5], 0))
+    assert frame is not None
+    for change in ({"raw_bytes": 1 << 31}, {"filter_bytes": 1 << 30}, {"record_count": 1 << 30}):
+        assert frames.decode_frame(replace(frame, **change).encode()) is None
     for size in (b"\xff" * 9 + b"\x01", columns.encode_varint(1 << 40)):
         with pytest.raises(ColumnError):
             payload.decode(size + b"\x01" * 50, UnknownCounts())
@@ -271,12 +279,12 @@
 # Versions.
 
 
-class Newer(Record, tag="newer"):
+class NewKind(Record, tag="newer"):
     what: str
     parts: list[HostState] = []  # noqa: RUF012 - msgspec copies it
 
 
-class Wider(Record, tag="started"):
+class StartedWithNewField(Record, tag="started"):
     hall: str = ""
     version: str = ""
     fronts: str = ""
@@ -284,14 +292,18 @@
 
 
 @LAYOUTS
-def test_an_older_reader_passes_over_what_it_does_not_know_and_counts_it(
+def test_an_older_reader_skips_and_counts_unknown_kinds_and_fields(
     layout: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    mixed: list[Record] = [Wider("here", cores=4, at=1), Newer("x", [HostState("a", "running")], at=2), ROWS[1]]
+    written: list[Record] = [
+        StartedWithNewField("here", cores=4, at=1),
+        NewKind("x", [HostState("a", "running")], at=2),
+        ROWS[1],
+    ]
     with monkeypatch.context() as patch:
-        patch.setattr(payload, "KINDS", (*KINDS, Newer, Wider))
-        for made in (Newer, Wider):
-            patch.setitem(cast(Any, schema.SCHEMAS), made, schema.struct_schema(made))
+        patch.setattr(payload, "KINDS", (*KINDS, NewKind, StartedWithNewField))
+        for new_type in (NewKind, StartedWithNewField):
+            patch.setitem(cast(Any, schema.SCHEMAS), new_type, schema.struct_schema(new_type))
         patch.setattr(
             rows,
             "_HEADER",
@@ -301,17 +313,15 @@
                 | {"newer": ["at", "what", "parts"], "started": [*rows._FIELDS_BY_KIND["started"], "cores"]}
             ),
         )
-        raw = payload.encode(mixed) if layout == frames.COLUMNS else rows.encode(mixed)
+        raw = payload.encode(written) if layout == frames.COLUMNS else rows.encode(written)
     unknown = UnknownCounts()
-    got = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
-    assert got == [Started("here", at=1), ROWS[1]]
+    found = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
+    assert found == [Started("here", at=1), ROWS[1]]
     assert {k.lower(): v for k, v in unknown.counts.items()} == {"newer": 1, "started.cores": 1}
 
 
 @pytest.mark.parametrize("kind", ["decision", "probed"])
-def test_what_refers_to_records_of_a_newer_program_is_refused_and_never_told_wrong(
-    kind: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_columns_that_refer_to_skipped_records_are_rejected(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(schema.TYPES_BY_KIND[kind], "VERSION", 2)
         raw = payload.encode(ROWS)
@@ -320,48 +330,51 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_a_host_answered_is_not_told_again_with_each_decision_and_comes_back_alike(seed: int) -> None:
-    r = random.Random(seed)
+def test_load_figures_predicted_from_probes_survive_encoding(seed: int) -> None:
+    rng = random.Random(seed)
     hosts = ["a", "b", "c"]
-    told: dict[str, tuple[float | None, int]] = {}
-    made: list[Record] = []
+    last_probe: dict[str, tuple[float | None, int]] = {}
+    records: list[Record] = []
     for at in range(1, 600):
-        host = r.choice(hosts)
-        if r.random() < 0.3:
-            # Among them what a careless prediction would trip over: no answer, no figure, one off the column's scale.
-            load = r.choice((None, round(r.random(), 3), r.random(), 1e12, -0.25))
-            made.append(Probed(host, r.choice(("served", "failed")), 5, load=load, at=at))
-            if r.random() < 0.9:
-                told[host] = load, at
+        host = rng.choice(hosts)
+        if rng.random() < 0.3:
+            # Include values that a prediction must handle: none at all, and some off the scale of the column.
+            load = rng.choice((None, round(rng.random(), 3), rng.random(), 1e12, -0.25))
+            records.append(Probed(host, rng.choice(("served", "failed")), 5, load=load, at=at))
+            if rng.random() < 0.9:
+                last_probe[host] = load, at
         else:
-            made.append(
+            records.append(
                 Decision(
                     f"{at:016x}",
                     "attempt",
                     "first",
                     candidates=[
                         Candidate(
-                            h, load=told.get(h, (None, 0))[0], load_at=told.get(h, (None, 0))[1], placed=r.randrange(2)
+                            h,
+                            load=last_probe.get(h, (None, 0))[0],
+                            load_at=last_probe.get(h, (None, 0))[1],
+                            placed=rng.randrange(2),
                         )
-                        for h in r.sample(hosts, r.randrange(4))
+                        for h in rng.sample(hosts, rng.randrange(4))
                     ],
                     at=at,
                 )
             )
-    raw = payload.encode(made)
-    assert payload.decode(raw, UnknownCounts()) == made
-    silent = [r for r in made if not isinstance(r, Probed)]
-    assert payload.decode(payload.encode(silent), UnknownCounts()) == silent
-
-
-def test_the_figures_of_a_hosts_answer_take_no_room_in_the_decisions_after_it() -> None:
-    def packed(answers: bool) -> int:
-        r, made = random.Random(1), list[Record]()
-        for at in itertools.accumulate(r.randrange(1, 10**6) for _ in range(400)):
-            load = r.randrange(1000) / 1000
-            if answers:
-                made.append(Probed("a", "served", 5, load=load, at=at))
-            made.append(
+    raw = payload.encode(records)
+    assert payload.decode(raw, UnknownCounts()) == records
+    without_probes = [record for record in records if not isinstance(record, Probed)]
+    assert payload.decode(payload.encode(without_probes), UnknownCounts()) == without_probes
+
+
+def test_load_figures_of_a_probe_take_no_space_in_later_decisions() -> None:
+    def compressed_size(with_probes: bool) -> int:
+        rng, records = random.Random(1), list[Record]()
+        for at in itertools.accumulate(rng.randrange(1, 10**6) for _ in range(400)):
+            load = rng.randrange(1000) / 1000
+            if with_probes:
+                records.append(Probed("a", "served", 5, load=load, at=at))
+            records.append(
                 Decision(
                     "x",
                     "attempt",
@@ -370,13 +383,13 @@
                     candidates=[Candidate("a", load=load, load_at=at), Candidate("b", load=0.5, load_at=7)],
                 )
             )
-        return len(zstandard.compress(payload.encode(made)))
+        return len(zstandard.compress(payload.encode(records)))
 
-    # The answers themselves take 400 times and loads; a decision that repeated them would take as much again.
-    assert packed(True) < packed(False) + 150
+    # The probes take space for 400 times and loads; decisions that repeated these would need as much again.
+    assert compressed_size(True) < compressed_size(False) + 150
 
 
-def test_a_newer_major_version_and_what_is_no_trace_are_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_newer_major_version_and_a_foreign_file_are_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(frames, "MAJOR", 2)
         path = write(tmp_path / "t.trace", ROWS[:5])
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""The recorder: what it keeps, drops, rotates, and how it takes a folder that fails."""
+"""Tests of the recorder: sampling, losses, rotation, and failing folders."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 SECOND = timedelta(seconds=1)
 
 
-# The witness.
+# Recording of decisions.
 
 
-def test_a_witness_changes_no_decision_and_tells_what_the_draw_went_by() -> None:
-    plain, watched = BalancerDriver(seed=5), BalancerDriver(seed=5)
-    watched.balancer = witness = RecordingBalancer(SETTINGS, 5)
-    witness.recording = True
-    r = Random(3)
-    for driver in (plain, watched):
+def test_recording_changes_no_decision_and_shows_the_weights_of_the_draw() -> None:
+    plain, recorded = BalancerDriver(seed=5), BalancerDriver(seed=5)
+    recorded.balancer = balancer = RecordingBalancer(SETTINGS, 5)
+    balancer.recording = True
+    rng = Random(3)
+    for driver in (plain, recorded):
         driver.set_list(*make_backends(6))
     for n in range(200):
-        load = r.random()
-        for driver in (plain, watched):
+        load = rng.random()
+        for driver in (plain, recorded):
             driver.loads[f"b{n % 6}"] = load
             driver.now_us += 40_000
             for attempt in (a for a in driver.request() if isinstance(a, api.Attempt)):
@@ -50,92 +50,99 @@
                     driver.open_connection(attempt)
                 else:
                     driver.end_attempt(attempt, api.Status.NO_ROOM)
-    assert plain.all_actions == watched.all_actions
-    watched.now_us += 10_000_000  # every figure is asked for anew: none of the drawn ones can refuse it
+    assert plain.all_actions == recorded.all_actions
+    recorded.now_us += 10_000_000  # all load figures expire, so the random ones above cannot cause a refusal
     event = api.Request("x", "feed", remaining_us=3_200_000)
-    made = witness.handle(watched.now_us, event)
-    for action in [a for a in made if isinstance(a, api.Probe)]:
-        made = witness.handle(
-            watched.now_us, api.ProbeResult(action.backend, api.Status.SERVED, 1, api.Report(load=0.2))
+    actions = balancer.handle(recorded.now_us, event)
+    for action in [a for a in actions if isinstance(a, api.Probe)]:
+        actions = balancer.handle(
+            recorded.now_us, api.ProbeResult(action.backend, api.Status.SERVED, 1, api.Report(load=0.2))
         )
-    (view,) = witness.decisions
-    chosen = next(b for b in view.candidates if b.backend == view.backend)
-    assert view.id == "x" and chosen.weight is not None and chosen.load is not None
-    assert max(b.weight or 0 for b in view.candidates) == 256
-    assert all(b.estimated_load is not None for b in view.candidates)
+    (decision,) = balancer.decisions
+    chosen = next(b for b in decision.candidates if b.backend == decision.backend)
+    assert decision.id == "x" and chosen.weight is not None and chosen.load is not None
+    assert max(b.weight or 0 for b in decision.candidates) == 256
+    assert all(b.estimated_load is not None for b in decision.candidates)
 
 
-def test_a_refusal_tells_the_hosts_that_were_full() -> None:
+def test_a_refusal_lists_the_full_hosts() -> None:
     driver = BalancerDriver()
-    driver.balancer = witness = RecordingBalancer(SETTINGS, 1)
-    witness.recording = True
+    driver.balancer = balancer = RecordingBalancer(SETTINGS, 1)
+    balancer.recording = True
     driver.set_list(*make_backends(2))
     driver.loads = {"b0": 0.95, "b1": 0.9}
     driver.request()
-    (view,) = witness.decisions
-    assert view.decision == "refuse" and view.retry_after_us == 0 and view.backend is None
-    assert {(b.backend, b.load, b.weight) for b in view.candidates} == {("b0", 0.95, None), ("b1", 0.9, None)}
+    (decision,) = balancer.decisions
+    assert decision.decision == "refuse" and decision.retry_after_us == 0 and decision.backend is None
+    assert {(b.backend, b.load, b.weight) for b in decision.candidates} == {("b0", 0.95, None), ("b1", 0.9, None)}
 
 
 # Sampling.
 
 
-def story(name: str, outcome: str = "served", end: str = "served", cls: str = "feed") -> list[Record]:
-    out: list[Record] = [
-        Request(name, "lines", cls, 1, at=1),
-        Attempt(name, 0, "a", "up", 1, at=2),
-        Answer(name, outcome, cls, 1, 1, at=3),
+def request_records(
+    request_id: str, outcome: str = "served", status: str = "served", cls: str = "feed"
+) -> list[Record]:
+    records: list[Record] = [
+        Request(request_id, "lines", cls, 1, at=1),
+        Attempt(request_id, 0, "a", "up", 1, at=2),
+        Answer(request_id, outcome, cls, 1, 1, at=3),
     ]
-    return out + ([Stand(name, "a", at=4), Ended(name, "a", end, 1, at=5)] if outcome == "served" else [])
+    return records + (
+        [Stand(request_id, "a", at=4), Ended(request_id, "a", status, 1, at=5)] if outcome == "served" else []
+    )
 
 
-def play(sampler: Sampler, records: list[Record]) -> list[Record]:
-    return [out for record in records for out in sampler.offer(record)]
+def offer_all(sampler: Sampler, records: list[Record]) -> list[Record]:
+    return [kept for record in records for kept in sampler.offer(record)]
 
 
 @pytest.mark.parametrize(
-    "kept",
+    "records",
     [
-        story("r", "refused"),
-        story("r", "failed"),
-        story("r", "left"),
-        story("r", end="cut"),
-        story("r", end="timed_out"),
-        [*story("r")[:4], Moved("r", "a", "hush", at=5), Ended("r", "a", "cancelled", 1, moved=True, at=6)],
-        story("r", cls="edit"),
+        request_records("r", "refused"),
+        request_records("r", "failed"),
+        request_records("r", "left"),
+        request_records("r", status="cut"),
+        request_records("r", status="timed_out"),
+        [*request_records("r")[:4], Moved("r", "a", "hush", at=5), Ended("r", "a", "cancelled", 1, moved=True, at=6)],
+        request_records("r", cls="edit"),
     ],
 )
-def test_what_went_wrong_is_kept_whole_and_in_order(kept: list[Record]) -> None:
+def test_a_failed_request_is_kept_completely_and_in_order(records: list[Record]) -> None:
     sampler = Sampler({"feed": 0.0})
-    assert play(sampler, kept) == kept and sampler.held_count == 0 and sampler.flush() == []
+    assert offer_all(sampler, records) == records and sampler.held_count == 0 and sampler.flush() == []
 
 
-def test_what_went_well_is_kept_by_its_share_and_alike_everywhere() -> None:
+def test_successful_requests_are_sampled_by_share_and_deterministically() -> None:
     r = Random(1)
-    stories = [story(f"{r.getrandbits(64):016x}") for _ in range(2000)]
-    kept = [play(Sampler({"feed": 0.1}), one) for one in stories]
-    again = [play(Sampler({"feed": 0.1}), one) for one in stories]
-    assert kept == again and all(one in ([], before) for one, before in zip(kept, stories, strict=True))
+    requests = [request_records(f"{r.getrandbits(64):016x}") for _ in range(2000)]
+    kept = [offer_all(Sampler({"feed": 0.1}), records) for records in requests]
+    kept_again = [offer_all(Sampler({"feed": 0.1}), records) for records in requests]
+    assert kept == kept_again and all(
+        records in ([], original) for records, original in zip(kept, requests, strict=True)
+    )
     assert 150 <= sum(map(bool, kept)) <= 250
     sampler = Sampler({"feed": 0.0})
-    assert play(sampler, stories[0]) == [] and (sampler.held_count, sampler.dropped) == (0, 5)
-    assert play(sampler, [Note("", "a", "delay", 1.0, at=1)])  # a note of no known story is no story's loss
+    assert offer_all(sampler, requests[0]) == [] and (sampler.held_count, sampler.dropped) == (0, 5)
+    assert offer_all(sampler, [Note("", "a", "delay", 1.0, at=1)])  # a note without a request is kept
 
 
-def test_stories_that_are_held_are_bounded_and_the_oldest_is_given_up() -> None:
+def test_held_records_are_bounded_and_the_oldest_request_is_evicted() -> None:
     sampler = Sampler({"feed": 0.0}, max_held=10)
     for n in range(6):
-        assert play(sampler, story(f"r{n}")[:4]) == []
+        assert offer_all(sampler, request_records(f"r{n}")[:4]) == []
     assert sampler.held_count <= 10 and sampler.evicted == 16
-    assert play(sampler, [story("r5", end="cut")[4]]) == story("r5", end="cut")
-    assert play(sampler, [story("r0", end="cut")[4]]) == [story("r0", end="cut")[4]]  # what is left of it
+    assert offer_all(sampler, [request_records("r5", status="cut")[4]]) == request_records("r5", status="cut")
+    # The first records of r0 were evicted.
+    assert offer_all(sampler, [request_records("r0", status="cut")[4]]) == [request_records("r0", status="cut")[4]]
     assert len(sampler.flush()) == 4 and sampler.held_count == 0
 
 
-# Losses, pace, rotation.
+# Losses, backoff, rotation.
 
 
-def test_losses_are_told_once_by_reason_and_come_back_where_they_could_not_be_written() -> None:
+def test_losses_are_reported_once_per_reason_and_restored_after_a_failed_write() -> None:
     losses = LossCounter()
 
     def add() -> None:
@@ -148,50 +155,61 @@
     for thread in threads:
         thread.join()
     losses.add("disk", 3, 9)
-    told = losses.drain(20)
-    assert [(t.count, t.why, t.since, t.at) for t in told] == [(2000, "buffer", 7, 20), (3, "disk", 9, 20)]
+    records = losses.drain(20)
+    assert [(record.count, record.why, record.since, record.at) for record in records] == [
+        (2000, "buffer", 7, 20),
+        (3, "disk", 9, 20),
+    ]
     assert losses.drain(21) == []
-    losses.restore(told)
+    losses.restore(records)
     losses.add("disk", 1, 30)
-    assert [(t.count, t.since) for t in losses.drain(31)] == [(2000, 7), (4, 9)]
+    assert [(record.count, record.since) for record in losses.drain(31)] == [(2000, 7), (4, 9)]
 
 
-def test_a_failing_folder_is_tried_again_ever_more_seldom_but_never_given_up() -> None:
-    pace, now, pauses = RetryBackoff(), timedelta(0), []
+def test_a_failing_folder_is_retried_with_exponential_backoff_without_end() -> None:
+    backoff, now, delays = RetryBackoff(), timedelta(0), []
     for _ in range(12):
-        pace.record_failure(now)
-        pauses.append(pace.next_try - now)
-        assert not pace.may_retry(pace.next_try - timedelta(microseconds=1)) and pace.may_retry(pace.next_try)
-        now = pace.next_try
-    assert pauses[:3] == [INITIAL_BACKOFF, 2 * INITIAL_BACKOFF, 4 * INITIAL_BACKOFF] and pauses[-1] == MAX_BACKOFF
-    pace.record_success()
-    assert pace.may_retry(timedelta(0))
+        backoff.record_failure(now)
+        delays.append(backoff.next_try - now)
+        assert not backoff.may_retry(backoff.next_try - timedelta(microseconds=1)) and backoff.may_retry(
+            backoff.next_try
+        )
+        now = backoff.next_try
+    assert delays[:3] == [INITIAL_BACKOFF, 2 * INITIAL_BACKOFF, 4 * INITIAL_BACKOFF] and delays[-1] == MAX_BACKOFF
+    backoff.record_success()
+    assert backoff.may_retry(timedelta(0))
 
 
-def test_rotation_by_size_and_age_and_only_own_files_go() -> None:
+def test_files_rotate_by_size_and_age_and_only_own_files_are_removed() -> None:
     limits = RetentionLimits(file_bytes=100, file_age=60 * SECOND, total_bytes=400)
     assert rotation_due(limits, 100, SECOND, SECOND) and rotation_due(limits, 1, SECOND, 61 * SECOND)
     assert not rotation_due(limits, 99, SECOND, 60 * SECOND)
     names = [file_name("n1", timedelta(seconds=1_796_000_000 + n)) for n in range(6)]
     assert names == sorted(names) and file_name("a/../b", SECOND).startswith("a_.._b-")
-    others = [file_name("n10", SECOND), file_name("n2", SECOND), "n1-notes.trace", "n1-x.txt", names[0] + ".part"]
-    files = [StoredFile(name, 100) for name in [*reversed(names), *others]]
+    foreign_names = [
+        file_name("n10", SECOND),
+        file_name("n2", SECOND),
+        "n1-notes.trace",
+        "n1-x.txt",
+        names[0] + ".part",
+    ]
+    files = [StoredFile(name, 100) for name in [*reversed(names), *foreign_names]]
     assert files_to_remove(limits, "n1", files, names[5]) == names[:2]
     assert files_to_remove(limits, "n1", files, None) == names[:3]
     assert files_to_remove(limits, "n1", [StoredFile(names[5], 9999)], names[5]) == []
 
 
-# The recorder on a folder that fails.
+# The recorder, also with a failing folder.
 
 
-class Faulty:
-    """A file that takes so many bytes and then fails, or takes a part only."""
+class FaultyFile:
+    """A file that writes only as many bytes as a callback allows; the callback may raise."""
 
-    def __init__(self, file: BinaryIO, fault: Callable[[int], int]) -> None:
-        self.file, self.fault = file, fault
+    def __init__(self, file: BinaryIO, writable_bytes: Callable[[int], int]) -> None:
+        self.file, self.writable_bytes = file, writable_bytes
 
     def write(self, data: bytes) -> int:
-        return self.file.write(memoryview(data)[: self.fault(len(data))])
+        return self.file.write(memoryview(data)[: self.writable_bytes(len(data))])
 
     def truncate(self, size: int) -> int:
         return self.file.truncate(size)
@@ -200,134 +218,136 @@
         self.file.close()
 
 
-class Bench:
-    """A recorder with a clock by hand and no thread."""
+class RecorderHarness:
+    """A recorder without a thread, with a manual clock and records of the simulated fleet."""
 
-    def __init__(self, folder: Path, fault: Callable[[int], int] | None = None, **plan: Any) -> None:
-        self.folder, self.fault = folder, fault
+    def __init__(self, folder: Path, writable_bytes: Callable[[int], int] | None = None, **config: Any) -> None:
+        self.folder, self.writable_bytes = folder, writable_bytes
         self.now = timedelta(seconds=1_796_000_000)
         self.counters = Counters()
         self.recorder = Recorder(
-            RecorderConfig(folder, "n1", "bergen-hall", **plan), self.counters, self.open, lambda: self.now
+            RecorderConfig(folder, "n1", "bergen-hall", **config), self.counters, self.open, lambda: self.now
         )
         self.records = Fleet(rate=100.0).records()
 
     def open(self, path: Path) -> BinaryIO:
         file = open_file(path)
-        return Faulty(file, self.fault) if self.fault else file  # type: ignore[return-value]
+        return FaultyFile(file, self.writable_bytes) if self.writable_bytes else file  # type: ignore[return-value]
 
-    def feed(self, count: int) -> list[Record]:
-        rows = list(itertools.islice(self.records, count))
-        for row in rows:
-            self.recorder._emit(row)
-        return rows
+    def emit(self, count: int) -> list[Record]:
+        records = list(itertools.islice(self.records, count))
+        for record in records:
+            self.recorder._emit(record)
+        return records
 
     def flush(self, seconds: float = 1.0) -> None:
         self.now += timedelta(seconds=seconds)
         self.recorder.flush()
 
     def read(self) -> list[Record]:
-        out: list[Record] = []
+        records: list[Record] = []
         for path in sorted(self.folder.iterdir()):
             with Reader(path) as reader:
-                out += reader.read()
+                records += reader.read()
                 assert not reader.damage_count, reader.damage
-        return out
-
-
-def test_what_is_flushed_is_in_the_file_at_once_with_its_source(tmp_path: Path) -> None:
-    bench = Bench(tmp_path)
-    fed = bench.feed(5000)
-    bench.flush()
-    assert bench.read() == fed and fed[0].src == "n1"  # the file is still open
-    more = bench.feed(10)
-    bench.flush()
-    assert bench.read() == fed + more
-    assert bench.counters.get("trace_records") == 5010
-
-
-def test_a_full_queue_drops_counts_and_tells(tmp_path: Path) -> None:
-    bench = Bench(tmp_path, buffer_size=100)
-    fed = bench.feed(250)
-    bench.flush()
-    lost, *kept = bench.read()
-    assert isinstance(lost, Lost) and (lost.count, lost.why, lost.since) == (150, "buffer", fed[100].at)
-    assert kept == fed[:100] and bench.counters.get("trace_lost") == 150
-    more = bench.feed(5)
-    bench.flush()
-    assert bench.read()[101:] == more
-
-
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("partly", [False, True])
-def test_a_disk_that_fails_costs_records_that_are_told_and_recording_resumes(
-    tmp_path: Path, number: int, partly: bool
+        return records
+
+
+def test_flushed_records_are_in_the_open_file_with_their_source(tmp_path: Path) -> None:
+    harness = RecorderHarness(tmp_path)
+    sent = harness.emit(5000)
+    harness.flush()
+    assert harness.read() == sent and sent[0].src == "n1"  # the file is still open
+    later = harness.emit(10)
+    harness.flush()
+    assert harness.read() == sent + later
+    assert harness.counters.get("trace_records") == 5010
+
+
+def test_a_full_queue_drops_records_and_reports_the_loss(tmp_path: Path) -> None:
+    harness = RecorderHarness(tmp_path, buffer_size=100)
+    sent = harness.emit(250)
+    harness.flush()
+    lost, *kept = harness.read()
+    assert isinstance(lost, Lost) and (lost.count, lost.why, lost.since) == (150, "buffer", sent[100].at)
+    assert kept == sent[:100] and harness.counters.get("trace_lost") == 150
+    later = harness.emit(5)
+    harness.flush()
+    assert harness.read()[101:] == later
+
+
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("partial_write", [False, True])
+def test_a_failing_disk_costs_reported_records_and_recording_resumes(
+    tmp_path: Path, error_number: int, partial_write: bool
 ) -> None:
     broken: list[int] = []
 
-    def fault(size: int) -> int:
+    def writable_bytes(size: int) -> int:
         if not broken:
             return size
-        if partly and broken[0] == 0:
+        if partial_write and broken[0] == 0:
             broken[0] = 1
-            return size // 2  # a full disk takes what it can, and fails at the next call
-        raise OSError(number, os.strerror(number))
+            return size // 2  # a full disk accepts a part, and fails at the next call
+        raise OSError(error_number, os.strerror(error_number))
 
-    bench = Bench(tmp_path, fault)
-    first = bench.feed(50)
-    bench.flush()
+    harness = RecorderHarness(tmp_path, writable_bytes)
+    first = harness.emit(50)
+    harness.flush()
     broken.append(0)
-    lost = bench.feed(30)
-    bench.flush()
-    assert bench.read() == first  # the half block is taken back
-    bench.feed(20)
-    bench.flush(0.5)  # within the pause: not tried
+    lost = harness.emit(30)
+    harness.flush()
+    assert harness.read() == first  # the partial block was removed
+    harness.emit(20)
+    harness.flush(0.5)  # within the backoff: not tried
     broken.clear()
-    last = bench.feed(10)
-    bench.flush(2.0)
-    got = bench.read()
-    told = [r for r in got if isinstance(r, Lost)]
-    assert [(t.count, t.why, t.since) for t in told] == [(50, "disk", lost[0].at)]
-    assert [r for r in got if not isinstance(r, Lost)] == first + last
-    assert bench.counters.get("trace_lost") == 50 and bench.counters.get("trace_failed") == 1
+    last = harness.emit(10)
+    harness.flush(2.0)
+    records = harness.read()
+    losses = [r for r in records if isinstance(r, Lost)]
+    assert [(t.count, t.why, t.since) for t in losses] == [(50, "disk", lost[0].at)]
+    assert [r for r in records if not isinstance(r, Lost)] == first + last
+    assert harness.counters.get("trace_lost") == 50 and harness.counters.get("trace_failed") == 1
 
 
-def test_a_folder_that_cannot_be_written_fails_no_start_and_is_used_once_it_can(tmp_path: Path) -> None:
+def test_an_unwritable_folder_is_used_as_soon_as_it_becomes_writable(tmp_path: Path) -> None:
     (tmp_path / "f").write_text("in the way")
-    bench = Bench(tmp_path / "f")
-    bench.feed(5)
-    bench.flush()
+    harness = RecorderHarness(tmp_path / "f")
+    harness.emit(5)
+    harness.flush()
     (tmp_path / "f").unlink()
     (tmp_path / "f").mkdir()
-    fed = bench.feed(5)
-    bench.flush(5)
-    assert [type(r) for r in bench.read()][:1] == [Lost] and bench.read()[1:] == fed
+    sent = harness.emit(5)
+    harness.flush(5)
+    assert [type(r) for r in harness.read()][:1] == [Lost] and harness.read()[1:] == sent
 
 
-def test_a_record_that_no_file_can_hold_ends_nothing(tmp_path: Path) -> None:
-    bench = Bench(tmp_path)
-    bench.recorder._emit(Stand("r", "a", at=1 << 70))
-    bench.flush()
-    fed = bench.feed(3)
-    bench.flush(5)
-    assert [(type(r), getattr(r, "count", 1)) for r in bench.read()][:1] == [(Lost, 1)] and bench.read()[1:] == fed
+def test_a_record_that_cannot_be_encoded_is_counted_as_lost(tmp_path: Path) -> None:
+    harness = RecorderHarness(tmp_path)
+    harness.recorder._emit(Stand("r", "a", at=1 << 70))
+    harness.flush()
+    sent = harness.emit(3)
+    harness.flush(5)
+    assert [(type(r), getattr(r, "count", 1)) for r in harness.read()][:1] == [(Lost, 1)] and harness.read()[1:] == sent
 
 
-def test_files_rotate_and_the_total_is_bounded(tmp_path: Path) -> None:
-    bench = Bench(tmp_path, limits=RetentionLimits(file_bytes=20_000, file_age=30 * SECOND, total_bytes=60_000))
+def test_files_rotate_within_the_total_size_limit(tmp_path: Path) -> None:
+    harness = RecorderHarness(
+        tmp_path, limits=RetentionLimits(file_bytes=20_000, file_age=30 * SECOND, total_bytes=60_000)
+    )
     for _ in range(30):
-        bench.feed(200)
-        bench.flush(3)
+        harness.emit(200)
+        harness.flush(3)
         assert sum(p.stat().st_size for p in tmp_path.iterdir()) <= 70_000
     names = sorted(p.name for p in tmp_path.iterdir())
-    assert len(names) >= 2 and bench.counters.get("trace_files_removed") >= 3
-    assert len(bench.read()) < 6000 and bench.read()[-1].src == "n1"
+    assert len(names) >= 2 and harness.counters.get("trace_files_removed") >= 3
+    assert len(harness.read()) < 6000 and harness.read()[-1].src == "n1"
 
 
-def test_the_mix_has_every_step_of_a_request_in_it() -> None:
-    """What the other tests and the measurements stand on."""
-    rows = list(itertools.islice(Fleet(script=((1, "drain", "1"), (2, "die", "2")), rate=60.0).records(), 6000))
-    kinds = Count(type(r).__name__ for r in rows)
+def test_the_simulated_fleet_yields_every_kind_of_record() -> None:
+    """Other tests and the benchmarks rely on this."""
+    records = list(itertools.islice(Fleet(script=((1, "drain", "1"), (2, "die", "2")), rate=60.0).records(), 6000))
+    kinds = Count(type(r).__name__ for r in records)
     assert set(kinds) >= {
         "Request",
         "Decision",
@@ -340,6 +360,6 @@
         "Moved",
         "Listed",
     }
-    answers = Count(r.id for r in rows if isinstance(r, Answer))
+    answers = Count(r.id for r in records if isinstance(r, Answer))
     assert max(answers.values()) == 1
-    assert all(r.candidates for r in rows if isinstance(r, Decision) and r.what == "attempt")
+    assert all(r.candidates for r in records if isinstance(r, Decision) and r.what == "attempt")
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -1,4 +1,4 @@
-"""``bramblestile trace``: what goes in, what comes out, what is refused, and that nothing is overwritten or leaked."""
+"""Tests of ``bramblestile trace``: input, output, errors, and that nothing is overwritten or leaked."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
 ROWS = list(itertools.islice(Fleet(script=SCRIPT, rate=60.0).records(), 4000))
 
 
-def save(path: Path, records: Sequence[Record], layout: int = frames.COLUMNS, **told: object) -> Path:
+def save(path: Path, records: Sequence[Record], layout: int = frames.COLUMNS, **description: object) -> Path:
     with open(path, "wb") as file:
-        writer = Writer(file, told, level=1, block_records=500, layout=layout)
+        writer = Writer(file, description, level=1, block_records=500, layout=layout)
         writer.extend(records)
         writer.flush()
     return path
@@ -91,31 +91,31 @@
         assert export.wait(20) == 0 and export.stderr.read() == b""
 
 
-def test_a_window_by_times_as_people_write_them(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_export_of_a_time_window(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
     first = min(map(corrected_time, ROWS))
     assert run("export", trace, "--from", "+2s", "--to", str(first + 4_000_000)) == 0
-    wanted = [r for r in ROWS if first + 2_000_000 <= r.at < first + 4_000_000]
-    assert capfd.readouterr().out == "".join(to_json(r).decode() + "\n" for r in wanted) and wanted
+    expected = [r for r in ROWS if first + 2_000_000 <= r.at < first + 4_000_000]
+    assert capfd.readouterr().out == "".join(to_json(r).decode() + "\n" for r in expected) and expected
     assert run("export", trace, "--from", "yesterday") == 2
     assert capfd.readouterr().err.count("\n") == 1
 
 
-def test_info_and_recover_tell_what_is_damaged(tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_info_and_recover_report_damage(tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
     whole = trace.read_bytes()
     with Reader(trace) as reader:
         third = list(reader.block_locations())[2]
-    hurt = whole[: third.offset + 300] + b"\0" + whole[third.offset + 301 :]
-    trace.write_bytes(hurt[:-7])
+    damaged = whole[: third.offset + 300] + b"\0" + whole[third.offset + 301 :]
+    trace.write_bytes(damaged[:-7])
     assert run("info", trace) == 0
-    told = capfd.readouterr()
-    assert "instance: n1" in told.out and "damaged: 1 places" in told.out and "cut off" in told.err
+    output = capfd.readouterr()
+    assert "instance: n1" in output.out and "damaged: 1 places" in output.out and "cut off" in output.err
     assert run("recover", trace, tmp_path / "r.trace") == 0
-    told = capfd.readouterr()
-    assert f"offset {third.offset}: " in told.err and "500 records" in told.err and "Traceback" not in told.err
+    output = capfd.readouterr()
+    assert f"offset {third.offset}: " in output.err and "500 records" in output.err and "Traceback" not in output.err
     assert load(tmp_path / "r.trace") == ROWS[:1000] + ROWS[1500:3500]
 
 
-def test_cut_keeps_a_part_and_its_origin(tmp_path: Path, trace: Path) -> None:
+def test_cut_copies_a_class_and_records_its_source(tmp_path: Path, trace: Path) -> None:
     out = tmp_path / "c.trace"
     assert run("cut", trace, "--class", "deep-zoom", "-o", out) == 0
     ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == "deep-zoom"}
@@ -124,7 +124,7 @@
         assert reader.description["cut_from"] == "t.trace" and reader.description["instance"] == "n1"
 
 
-def test_nothing_is_overwritten_and_no_half_file_is_left(
+def test_no_file_is_overwritten_or_left_incomplete(
     tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     out = tmp_path / "o.trace"
@@ -139,9 +139,9 @@
     assert sorted(p.name for p in tmp_path.iterdir()) == ["bad.jsonl", "o.trace", "t.trace"]
 
 
-def test_an_interrupted_import_leaves_nothing_under_its_name(tmp_path: Path) -> None:
+def test_an_interrupted_import_leaves_no_file(tmp_path: Path) -> None:
     out = tmp_path / "o.trace"
-    # A shell's background job ignores SIGINT, and what it starts inherits that: the command must hear it here.
+    # Background jobs of a shell ignore SIGINT, and child processes inherit this: restore the default.
     with subprocess.Popen(
         [sys.executable, "-m", "bramblestile", "trace", "import", "-", str(out)],
         stdin=subprocess.PIPE,
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "said"),
+    ("arguments", "code", "expected"),
     [
         (["info", "{junk}"], 2, "{junk}: not a trace"),
         (["info", "{none}"], 1, "{none}: No such file or directory"),
@@ -171,153 +171,170 @@
         (["cut", "{trace}"], 2, "Missing option '-o'"),
     ],
 )
-def test_refused_input_gets_one_line(
-    tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str], arguments: list[str], code: int, said: str
+def test_invalid_input_is_reported_in_one_line(
+    tmp_path: Path, trace: Path, capfd: pytest.CaptureFixture[str], arguments: list[str], code: int, expected: str
 ) -> None:
     (tmp_path / "junk").write_text("what is this?\n")
     (tmp_path / "short").write_text("12345")
     names = {n: str(tmp_path / n) for n in ("junk", "none", "out", "short")} | {"trace": str(trace)}
     assert run(*(a.format(**names) for a in arguments)) == code
     err = capfd.readouterr().err
-    assert err.count("\n") == 1 and said.format(**names) in err and err.startswith("bramblestile: ")
+    assert err.count("\n") == 1 and expected.format(**names) in err and err.startswith("bramblestile: ")
     assert not (tmp_path / "out").exists()
 
 
 # Clocks.
 
 
-def halls(offset_us: int, drift: float, seconds: float = 60.0, seed: int = 1) -> tuple[list[Record], list[Record]]:
-    """Two balancers of one fleet: each hears of drains some ms late, by a clock of its own; deaths cut both."""
-    r = Random(seed)
-    out: tuple[list[Record], list[Record]] = ([], [])
+def two_balancers(
+    offset_us: int, drift: float, seconds: float = 60.0, seed: int = 1
+) -> tuple[list[Record], list[Record]]:
+    """Return the records of two balancers of one fleet, each by its own clock.
 
-    def by(hall: int, us: float) -> int:
-        return START + round(us) + (0 if hall == 0 else offset_us + round(us * drift))
+    Both receive host lists some milliseconds late; deaths of hosts cut connections to both.
+    """
+    rng = Random(seed)
+    records: tuple[list[Record], list[Record]] = ([], [])
 
-    for n in range(12):
-        at = r.uniform(0, seconds) * 1e6
-        for hall in (0, 1):
-            if n % 3:
-                for state, when in (("draining", at), ("running", at + 3e6)):
-                    told = by(hall, when + r.uniform(0, 4000))
-                    out[hall].append(Listed("lines", "changes", [HostState(f"h{n}", state)], at=told))
+    def local_time(index: int, us: float) -> int:
+        return START + round(us) + (0 if index == 0 else offset_us + round(us * drift))
+
+    for event in range(12):
+        at_us = rng.uniform(0, seconds) * 1e6
+        for index in (0, 1):
+            if event % 3:
+                for state, true_us in (("draining", at_us), ("running", at_us + 3e6)):
+                    received_us = local_time(index, true_us + rng.uniform(0, 4000))
+                    records[index].append(Listed("lines", "changes", [HostState(f"h{event}", state)], at=received_us))
             else:
                 for _ in range(4):
-                    out[hall].append(Ended(f"{n}", f"h{n}", "cut", 1, at=by(hall, at + r.uniform(0, 1500))))
-    # Two drains of one host, of which one hall heard the first only and the other the second only.
-    out[0].append(Listed("lines", "changes", [HostState("odd", "draining")], at=by(0, 1e6)))
-    out[1].append(Listed("lines", "changes", [HostState("odd", "draining")], at=by(1, 4e6)))
-    for hall in (0, 1):
-        out[hall].sort(key=corrected_time)
-    return out
-
-
-def seen(records: Sequence[Record]) -> ClockEvents:
-    made = ClockEvents()
+                    records[index].append(
+                        Ended(f"{event}", f"h{event}", "cut", 1, at=local_time(index, at_us + rng.uniform(0, 1500)))
+                    )
+    # Two drains of one host, of which each balancer recorded a different one.
+    records[0].append(Listed("lines", "changes", [HostState("odd", "draining")], at=local_time(0, 1e6)))
+    records[1].append(Listed("lines", "changes", [HostState("odd", "draining")], at=local_time(1, 4e6)))
+    for index in (0, 1):
+        records[index].sort(key=corrected_time)
+    return records
+
+
+def clock_events(records: Sequence[Record]) -> ClockEvents:
+    events = ClockEvents()
     for record in records:
-        made.add(record)
-    return made
+        events.add(record)
+    return events
 
 
 @pytest.mark.parametrize("offset", [0, 40_000, -40_000])
 @pytest.mark.parametrize("drift", [0.0, 50e-6, -50e-6])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_offset_is_recovered_within_2_ms_over_the_whole_trace(offset: int, drift: float, seed: int) -> None:
-    here, there = (seen(half) for half in halls(offset, drift, seconds=300.0, seed=seed))
-    got = estimate_offset(here, there)
-    for us in (0.0, 150e6, 300e6):
-        true = offset + us * drift
-        told = START + round(us + true)
-        assert abs(-got.correction_us(told) - true) < 2000, (us, got)
-    true = offset + (got.middle_us - START) * drift
-    assert got.method == "links" and got.error_us < 3000 and abs(got.offset_us - true) < 2 * got.error_us
-
-
-def test_clients_that_come_back_both_ways_bound_the_offset() -> None:
-    r, halves = Random(4), ([], [])  # type: ignore[var-annotated]
+def test_the_offset_is_estimated_within_2_ms_over_the_whole_trace(offset: int, drift: float, seed: int) -> None:
+    here, there = (clock_events(records) for records in two_balancers(offset, drift, seconds=300.0, seed=seed))
+    estimate = estimate_offset(here, there)
+    for at_us in (0.0, 150e6, 300e6):
+        true_offset = offset + at_us * drift
+        local_us = START + round(at_us + true_offset)
+        assert abs(-estimate.correction_us(local_us) - true_offset) < 2000, (at_us, estimate)
+    true_offset = offset + (estimate.middle_us - START) * drift
+    assert (
+        estimate.method == "links"
+        and estimate.error_us < 3000
+        and abs(estimate.offset_us - true_offset) < 2 * estimate.error_us
+    )
+
+
+def test_returning_clients_in_both_directions_bound_the_offset() -> None:
+    rng, traces = Random(4), ([], [])  # type: ignore[var-annotated]
     for n in range(200):
-        frm, to, at = n % 2, 1 - n % 2, START + n * 50_000
+        origin, destination, at = n % 2, 1 - n % 2, START + n * 50_000
         skew = [0, -40_000]
-        back = at + 20_000 + round(r.expovariate(1 / 60_000))
-        halves[frm].append(Request(f"r{n}", "lines", "feed", 1, key=f"{n:016x}", at=at - 10_000 + skew[frm]))
-        halves[frm].append(Moved(f"r{n}", "a", "drain", at=at + skew[frm]))
-        halves[to].append(Request(f"s{n}", "lines", "feed", 1, key=f"{n:016x}", is_return=True, at=back + skew[to]))
-    got = estimate_offset(*(seen(sorted(half, key=corrected_time)) for half in halves))
-    assert got.method == "returns" and abs(got.offset_us + 40_000) < 2000 <= got.error_us <= 25_000
+        returned_us = at + 20_000 + round(rng.expovariate(1 / 60_000))
+        traces[origin].append(Request(f"r{n}", "lines", "feed", 1, key=f"{n:016x}", at=at - 10_000 + skew[origin]))
+        traces[origin].append(Moved(f"r{n}", "a", "drain", at=at + skew[origin]))
+        traces[destination].append(
+            Request(f"s{n}", "lines", "feed", 1, key=f"{n:016x}", is_return=True, at=returned_us + skew[destination])
+        )
+    estimate = estimate_offset(*(clock_events(sorted(records, key=corrected_time)) for records in traces))
+    assert estimate.method == "returns" and abs(estimate.offset_us + 40_000) < 2000 <= estimate.error_us <= 25_000
 
 
-def test_what_nothing_links_is_said_and_not_guessed() -> None:
-    nothing = estimate_offset(seen(ROWS[:50]), ClockEvents())
+def test_missing_links_are_reported_and_nothing_is_guessed() -> None:
+    nothing = estimate_offset(clock_events(ROWS[:50]), ClockEvents())
     assert nothing.method == "nothing" and math.isinf(nothing.error_us) and nothing.correction_us(START) == 0
     one_way = estimate_offset(
-        seen([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
-        seen([Request("s", "lines", "feed", 1, key="a", is_return=True, at=START + 30_000)]),
+        clock_events([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
+        clock_events([Request("s", "lines", "feed", 1, key="a", is_return=True, at=START + 30_000)]),
     )
     assert one_way.method == "nothing" and "less than 30.0 ms" in one_way.note
     reports = [
-        seen([Probed("h", "served", 1, load=0.1 * n, queue=float(n), at=START + n * 1_000_000 + off) for n in range(9)])
+        clock_events(
+            [Probed("h", "served", 1, load=0.1 * n, queue=float(n), at=START + n * 1_000_000 + off) for n in range(9)]
+        )
         for off in (0, 7_000)
     ]
-    got = estimate_offset(*reports)
-    assert got.method == "links" and got.links == {"report": 9} and abs(got.offset_us - 7_000) < 100
+    estimate = estimate_offset(*reports)
+    assert estimate.method == "links" and estimate.links == {"report": 9} and abs(estimate.offset_us - 7_000) < 100
 
 
-def test_links_chain_through_a_third_trace() -> None:
-    def told(host: str, at: int) -> list[Record]:
+def test_offsets_chain_through_a_third_trace() -> None:
+    def drains(host: str, at: int) -> list[Record]:
         return [
             Listed("lines", "changes", [HostState(f"{host}{n}", "draining")], at=START + at + n * 1_000_000)
             for n in range(5)
         ]
 
-    traces = [seen(told("x", 0)), seen([*told("x", 10_000), *told("y", 10_000)]), seen(told("y", 30_000))]
-    known = {(a, b): estimate_offset(traces[a], traces[b]) for a in range(3) for b in range(a + 1, 3)}
-    chain = clocks.spanning_tree(known, 3)
-    assert [parent for _, parent in chain] == [0, 0, 1]
+    traces = [
+        clock_events(drains("x", 0)),
+        clock_events([*drains("x", 10_000), *drains("y", 10_000)]),
+        clock_events(drains("y", 30_000)),
+    ]
+    estimates = {(a, b): estimate_offset(traces[a], traces[b]) for a in range(3) for b in range(a + 1, 3)}
+    tree = clocks.spanning_tree(estimates, 3)
+    assert [parent for _, parent in tree] == [0, 0, 1]
     at = START + 30_000
-    for step in clocks.path_to_reference(chain, 2):
+    for step in clocks.path_to_reference(tree, 2):
         at += step.correction_us(at)
     assert abs(at - START) <= 2
 
 
-def test_merge_brings_all_on_one_clock_and_keeps_each_records_own_time(
-    tmp_path: Path, capfd: pytest.CaptureFixture[str]
-) -> None:
-    here, there = halls(40_000, 0.0)
+def test_merge_corrects_clocks_and_keeps_original_times(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+    here, there = two_balancers(40_000, 0.0)
     a = save(tmp_path / "a.trace", here, instance="n1")
     b = save(tmp_path / "b.trace", there, layout=frames.ROWS, instance="n2")
-    alone = save(tmp_path / "c.trace", [Logged("info", "x", at=START)], instance="n3")
+    unlinked = save(tmp_path / "c.trace", [Logged("info", "x", at=START)], instance="n3")
     out = tmp_path / "m.trace"
-    assert run("merge", a, b, alone, "-o", out) == 0
+    assert run("merge", a, b, unlinked, "-o", out) == 0
     err = capfd.readouterr().err
     assert "b.trace: +4" in err and "against a.trace" in err and "c.trace: NOT ALIGNED" in err
-    got = load(out)
-    times = list(map(corrected_time, got))
+    merged = load(out)
+    times = list(map(corrected_time, merged))
     assert times == sorted(times)
-    assert sorted(r.at for r in got) == sorted(r.at for r in [*here, *there, Logged("info", "x", at=START)])
-    moved = {r.adj for r in got}
-    assert 0 in moved and all(-42_000 < m < -38_000 for m in moved - {0})
+    assert sorted(r.at for r in merged) == sorted(r.at for r in [*here, *there, Logged("info", "x", at=START)])
+    adjustments = {r.adj for r in merged}
+    assert 0 in adjustments and all(-42_000 < m < -38_000 for m in adjustments - {0})
     assert run("info", out) == 0 and "'by': 'links'" in capfd.readouterr().out
     assert run("merge", a, b, "--as-is", "-o", out, "--force") == 0 and {r.adj for r in load(out)} == {0}
 
 
-# Names.
+# Pseudonyms.
 
 
-def test_anonymise_hides_alike_and_leaves_no_original_byte(tmp_path: Path) -> None:
-    told: list[Record] = [
+def test_anonymise_is_consistent_and_leaves_no_original_value(tmp_path: Path) -> None:
+    records: list[Record] = [
         *ROWS,
         Logged("info", "check", "vestland-museum asked", id=ROWS[1].id, at=START),  # type: ignore[attr-defined]
         Reloaded(False, "settings: fjord-kunstsamling: unheard of", at=START),
     ]
-    key, other = tmp_path / "key", tmp_path / "other"
+    key, other_key = tmp_path / "key", tmp_path / "other"
     key.write_bytes(bytes(range(32)))
-    other.write_bytes(bytes(range(1, 33)))
-    one, two = save(tmp_path / "1.trace", told), save(tmp_path / "2.trace", told[:300])
+    other_key.write_bytes(bytes(range(1, 33)))
+    first, second = save(tmp_path / "1.trace", records), save(tmp_path / "2.trace", records[:300])
     outs = [tmp_path / f"{n}.out" for n in range(3)]
-    for source, secret, out in ((one, key, outs[0]), (two, key, outs[1]), (one, other, outs[2])):
+    for source, secret, out in ((first, key, outs[0]), (second, key, outs[1]), (first, other_key, outs[2])):
         assert run("anonymise", source, "-o", out, "--key-file", secret, *(["--hosts"] if out == outs[0] else [])) == 0
-    asked = [r for r in ROWS if isinstance(r, Request)]
-    originals = {v.encode() for r in asked for v in (r.id, r.key, r.group, r.tenant) if v} | {
+    requests = [r for r in ROWS if isinstance(r, Request)]
+    originals = {v.encode() for r in requests for v in (r.id, r.key, r.group, r.tenant) if v} | {
         h.host.encode() for r in ROWS if isinstance(r, Listed) for h in r.hosts
     }
     with Reader(outs[0]) as reader:
@@ -327,15 +344,15 @@
         raw += b"".join(to_json(r) for r in reader.read()) + json.dumps(reader.description).encode()
     assert not [v for v in originals if v in raw or (len(v) == 16 and bytes.fromhex(v.decode()) in raw)]
     hidden = [[r for r in load(out) if isinstance(r, Request)] for out in outs]
-    mine = {r.id: h.id for r, h in zip(asked, hidden[0], strict=True)}
-    assert len(set(mine.values())) == len(asked)
-    assert [h.id for h in hidden[1]] == [mine[r.id] for r in asked[: len(hidden[1])]]
-    assert len({h.tenant for h in hidden[0]}) == len({r.tenant for r in asked}) <= len(TENANTS)
+    id_map = {r.id: h.id for r, h in zip(requests, hidden[0], strict=True)}
+    assert len(set(id_map.values())) == len(requests)
+    assert [h.id for h in hidden[1]] == [id_map[r.id] for r in requests[: len(hidden[1])]]
+    assert len({h.tenant for h in hidden[0]}) == len({r.tenant for r in requests}) <= len(TENANTS)
     assert not {h.id for h in hidden[0]} & {h.id for h in hidden[2]}
-    assert [(r.at, r.cls, r.wait_us) for r in hidden[0]] == [(r.at, r.cls, r.wait_us) for r in asked]
+    assert [(r.at, r.cls, r.wait_us) for r in hidden[0]] == [(r.at, r.cls, r.wait_us) for r in requests]
 
 
-def test_an_identity_that_also_stands_in_a_kept_field_stops_it(
+def test_anonymise_refuses_an_identity_that_appears_in_a_kept_field(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     source = save(tmp_path / "s", [Request("r" * 9, "lines", "museum-feed", 1, tenant="museum", at=1)])
@@ -346,46 +363,46 @@
     assert not (tmp_path / "out").exists() and len(os.listdir(tmp_path)) == 2
 
 
-# Figures.
+# Summaries.
 
 
-def test_summarise_in_three_forms(
+def test_summarise_in_three_formats(
     trace: Path, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert run("summarise", trace, "--format", "json", "--window", "5") == 0
-    made = json.loads(capfd.readouterr().out)
-    asked = [r for r in ROWS if isinstance(r, Request)]
-    assert made["total"]["requests"] == len(asked) == sum(g["requests"] for g in made["by_class"].values())
-    assert set(made["by_hall"]) == {"bergen-hall"} and set(made["by_tenant"]) == {r.tenant for r in asked}
-    assert sum(w["requests"] for w in made["windows"]) == len(asked) and len(made["windows"]) == 3
+    data = json.loads(capfd.readouterr().out)
+    requests = [r for r in ROWS if isinstance(r, Request)]
+    assert data["total"]["requests"] == len(requests) == sum(g["requests"] for g in data["by_class"].values())
+    assert set(data["by_hall"]) == {"bergen-hall"} and set(data["by_tenant"]) == {r.tenant for r in requests}
+    assert sum(w["requests"] for w in data["windows"]) == len(requests) and len(data["windows"]) == 3
     served = sorted(r.took_us for r in ROWS if getattr(r, "outcome", "") == "served")  # type: ignore[attr-defined]
-    assert made["total"]["served"] == len(served)
-    assert abs(made["total"]["up_p50_us"] - served[len(served) // 2]) < 0.01 * served[len(served) // 2] + 100
+    assert data["total"]["served"] == len(served)
+    assert abs(data["total"]["up_p50_us"] - served[len(served) // 2]) < 0.01 * served[len(served) // 2] + 100
     assert run("summarise", trace, "--format", "csv") == 0
     rows = list(csv.DictReader(io.StringIO(capfd.readouterr().out)))
-    assert rows[0]["by"] == "total" and int(rows[0]["requests"]) == len(asked)
+    assert rows[0]["by"] == "total" and int(rows[0]["requests"]) == len(requests)
     assert run("summarise", trace) == 0 and "moves: " in capfd.readouterr().out
     monkeypatch.setattr(summary, "MAX_WINDOWS", 50)
     assert run("summarise", trace, "--window", "0.1") == 2
     assert capfd.readouterr().err == "bramblestile: more than 50 windows: choose a longer window\n"
 
 
-def test_diff_shows_what_chance_does_not_explain(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_diff_shows_only_significant_differences(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     calm = save(tmp_path / "a", list(itertools.islice(Fleet(rate=20.0, seed=2).records(), 6000)))
     same = save(tmp_path / "b", list(itertools.islice(Fleet(rate=20.0, seed=3).records(), 6000)))
-    full = save(tmp_path / "c", list(itertools.islice(Fleet(rate=200.0, hosts=6, seed=2).records(), 6000)))
+    overloaded = save(tmp_path / "c", list(itertools.islice(Fleet(rate=200.0, hosts=6, seed=2).records(), 6000)))
 
-    def beyond(a: Path, b: Path) -> list[tuple[str, str]]:
+    def significant(a: Path, b: Path) -> list[tuple[str, str]]:
         assert run("diff", a, b, "--format", "json") == 0
         rows = json.loads(capfd.readouterr().out)
         return [(row["name"], row["what"]) for row in rows if row["beyond_chance"] and row["by"] == "class"]
 
-    assert beyond(calm, same) == [] and ("deep-zoom", "refused") in beyond(calm, full)
+    assert significant(calm, same) == [] and ("deep-zoom", "refused") in significant(calm, overloaded)
 
 
-def test_a_story_tells_what_was_believed_of_whom(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    asked = next(r for r in ROWS[200:] if isinstance(r, Request))
-    assert run("story", trace, asked.id) == 0
+def test_story_shows_the_candidates_of_a_decision(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
+    request = next(r for r in ROWS[200:] if isinstance(r, Request))
+    assert run("story", trace, request.id) == 0
     out = capfd.readouterr().out
-    assert f"class {asked.cls}, tenant {asked.tenant}" in out and "of the draw (weight 256)" in out
+    assert f"class {request.cls}, tenant {request.tenant}" in out and "of the draw (weight 256)" in out
     assert "answered: served" in out and " reported " in out and "-> s-" in out
