--- a/benchmarks/trace_find.py
+++ b/benchmarks/trace_find.py
@@ -1,7 +1,7 @@
-"""A large trace: lossless by hash, its size against gzip'd JSON lines, and how soon a window and a story are found.
+"""A large trace: losslessness, size against gzipped JSON lines, and the time to find a window and a request.
 
-Commands are timed as whole processes, start and imports included. Beyond a million records the first million is
-repeated under other ids, keys and times.
+Commands are timed as whole processes, including their start. Beyond a million records, the first million is repeated
+with other ids, keys and times.
 """
 
 from __future__ import annotations
@@ -28,30 +28,32 @@
 SCRIPT = ((200, "drain", "3"), (300, "die", "5"), (600, "back", "3"), (700, "back", "5"))
 
 
-def mix(count: int) -> Iterator[Record]:
+def repeated_records(count: int) -> Iterator[Record]:
+    """Yield records of the simulated fleet, repeating the first million with other ids, keys and times."""
     base = list(itertools.islice(Fleet(script=SCRIPT).records(), min(count, MILLION)))
     yield from base
     length = base[-1].at - base[0].at + 1000
-    for turn in range(1, -(-count // MILLION)):
-        flip = turn * 0x9E3779B97F4A7C15 % 2**64
-        for record in base[: count - turn * MILLION]:
-            changed: dict[str, object] = {"at": record.at + turn * length}
+    for copy in range(1, -(-count // MILLION)):
+        mask = copy * 0x9E3779B97F4A7C15 % 2**64
+        for record in base[: count - copy * MILLION]:
+            changed: dict[str, object] = {"at": record.at + copy * length}
             for name in ("id", "key"):
                 value = getattr(record, name, None)
                 if value is not None:
-                    changed[name] = f"{int(value, 16) ^ flip:016x}"
+                    changed[name] = f"{int(value, 16) ^ mask:016x}"
             yield replace(record, **changed)
 
 
-def timed(*arguments: object, runs: int = 5) -> tuple[float, bytes]:
-    took, out = [], b""
+def time_command(*arguments: object, runs: int = 5) -> tuple[float, bytes]:
+    """Return the median duration of a command in seconds, and its last output."""
+    durations, output = [], b""
     for _ in range(runs):
-        began = time.perf_counter()
-        out = subprocess.run(
+        started = time.perf_counter()
+        output = subprocess.run(
             [sys.executable, "-m", "bramblestile", *map(str, arguments)], check=True, capture_output=True
         ).stdout
-        took.append(time.perf_counter() - began)
-    return median(took), out
+        durations.append(time.perf_counter() - started)
+    return median(durations), output
 
 
 @click.command()
@@ -61,49 +63,56 @@
     """Write a large trace and find things in it."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t.trace"
-        packed, lines, digest = zlib.compressobj(6, wbits=31), 0, hashlib.sha256()
-        squeezed = 0
-        asked: list[str] = []
+        gzip_compressor, json_bytes, digest = zlib.compressobj(6, wbits=31), 0, hashlib.sha256()
+        gzip_bytes = 0
+        request_ids: list[str] = []
         with open(path, "wb") as file:
             writer = Writer(file, {}, threads=4)
-            for n, record in enumerate(mix(records)):
+            for n, record in enumerate(repeated_records(records)):
                 writer.add(record)
-                if n < MILLION:  # the rest is like it
+                if n < MILLION:  # the rest repeats these
                     line = to_json(record) + b"\n"
                     digest.update(line)
-                    lines += len(line)
-                    squeezed += len(packed.compress(line))
+                    json_bytes += len(line)
+                    gzip_bytes += len(gzip_compressor.compress(line))
                 if isinstance(record, Request) and n % 1000 == 7:
-                    asked.append(record.id)
+                    request_ids.append(record.id)
                 if n == records // 2:
                     middle = record.at
             writer.flush()
             writer.close()
-        squeezed += len(packed.flush())
-        first = min(records, MILLION)
-        each = path.stat().st_size / records
+        gzip_bytes += len(gzip_compressor.flush())
+        measured = min(records, MILLION)
+        bytes_per_record = path.stat().st_size / records
         click.echo(
-            f"{records} records: {each:.2f} bytes each; JSON lines {lines / first:.1f}, gzip'd "
-            f"{squeezed / first:.2f}: {squeezed / first / each:.2f} times smaller"
+            f"{records} records: {bytes_per_record:.2f} bytes each; JSON lines {json_bytes / measured:.1f}, gzip'd "
+            f"{gzip_bytes / measured:.2f}: {gzip_bytes / measured / bytes_per_record:.2f} times smaller"
         )
-        nothing = timed("--version")[0]
-        window, out = timed("trace", "export", path, "--from", middle, "--to", middle + 10_000_000)
+        startup = time_command("--version")[0]
+        window_s, output = time_command("trace", "export", path, "--from", middle, "--to", middle + 10_000_000)
         with Reader(path) as reader:
             expected = sum(1 for _ in reader.read(Query(middle, middle + 10_000_000)))
-        assert out.count(b"\n") == expected > 0
+        assert output.count(b"\n") == expected > 0
         click.echo(
-            f"a window of 10 s, {expected} records: {window * 1000:.0f} ms as a whole process "
-            f"({nothing * 1000:.0f} ms for --version)"
+            f"a window of 10 s, {expected} records: {window_s * 1000:.0f} ms as a whole process "
+            f"({startup * 1000:.0f} ms for --version)"
         )
-        story = max(timed("trace", "story", path, one, runs=1)[0] for one in asked[:: max(1, len(asked) // 10)])
-        click.echo(f"a request's story: {story * 1000:.0f} ms at most, of ten requests all over the file")
-        info = timed("trace", "info", path)[0]
-        click.echo(f"info: {info * 1000:.0f} ms")
+        story_s = max(
+            time_command("trace", "story", path, request_id, runs=1)[0]
+            for request_id in request_ids[:: max(1, len(request_ids) // 10)]
+        )
+        click.echo(f"a request's story: {story_s * 1000:.0f} ms at most, of ten requests all over the file")
+        info_s = time_command("trace", "info", path)[0]
+        click.echo(f"info: {info_s * 1000:.0f} ms")
         if lossless:
-            text, again, back = (Path(folder) / n for n in ("t.jsonl", "again.trace", "back.jsonl"))
-            for step in (("export", path, "-o", text), ("import", text, again), ("export", again, "-o", back)):
-                click.echo(f"{step[0]}: {timed('trace', *step, runs=1)[0]:.1f} s")
-            hashes = [hashlib.sha256(p.read_bytes()).hexdigest() for p in (text, back)]
+            exported, imported, exported_again = (Path(folder) / n for n in ("t.jsonl", "again.trace", "back.jsonl"))
+            for step in (
+                ("export", path, "-o", exported),
+                ("import", exported, imported),
+                ("export", imported, "-o", exported_again),
+            ):
+                click.echo(f"{step[0]}: {time_command('trace', *step, runs=1)[0]:.1f} s")
+            hashes = [hashlib.sha256(p.read_bytes()).hexdigest() for p in (exported, exported_again)]
             assert hashes[0] == hashes[1] and (records > MILLION or hashes[0] == digest.hexdigest())
             click.echo(f"written, read and written again alike: sha256 {hashes[0][:16]}")
 
--- a/benchmarks/trace_size.py
+++ b/benchmarks/trace_size.py
@@ -1,7 +1,7 @@
-"""Formats of traces on the same records: bytes a record, time to write, time to read a window of 10 s.
+"""Trace formats compared on the same records: bytes per record, time to write, time to read a window of 10 s.
 
-JSON lines and gzip of them are the baseline; beside our two layouts stand MCAP, Arrow IPC, Parquet and SQLite, each as
-its library writes it best at about the same effort (needs the extra ``bench``).
+Gzipped JSON lines are the baseline. Besides the two layouts of this package there are MCAP, Arrow IPC, Parquet and
+SQLite, each written as its library does it best with similar effort (needs the extra ``bench``).
 """
 
 from __future__ import annotations
@@ -26,60 +26,60 @@
 WINDOW_US = 10_000_000
 
 
-def columns(rows: list[Record], path: Path) -> None:
+def write_columns(records: list[Record], path: Path) -> None:
     with open(path, "wb") as file:
         writer = Writer(file, {}, threads=4)
-        writer.extend(rows)
+        writer.extend(records)
         writer.flush()
         writer.close()
 
 
-def rows_(rows: list[Record], path: Path) -> None:
+def write_rows(records: list[Record], path: Path) -> None:
     with open(path, "wb") as file:
         writer = Writer(file, {}, level=1, block_records=4096, layout=frames.ROWS)
-        writer.extend(rows)
+        writer.extend(records)
         writer.flush()
 
 
-def our_window(path: Path, since: int) -> int:
+def read_window(path: Path, since: int) -> int:
     with Reader(path) as reader:
         return sum(1 for _ in reader.read(Query(since, since + WINDOW_US)))
 
 
-def json_lines(rows: list[Record], path: Path) -> None:
-    path.write_bytes(b"".join(to_json(r) + b"\n" for r in rows))
+def write_json(records: list[Record], path: Path) -> None:
+    path.write_bytes(b"".join(to_json(r) + b"\n" for r in records))
 
 
-def gzipped(rows: list[Record], path: Path) -> None:
-    path.write_bytes(gzip.compress(b"".join(to_json(r) + b"\n" for r in rows), 6))
+def write_gzip(records: list[Record], path: Path) -> None:
+    path.write_bytes(gzip.compress(b"".join(to_json(r) + b"\n" for r in records), 6))
 
 
-def json_window(path: Path, since: int) -> int:
+def read_json_window(path: Path, since: int) -> int:
     data = path.read_bytes()
     lines = (gzip.decompress(data) if path.suffix == ".gz" else data).splitlines()
     return sum(since <= from_json(line).at < since + WINDOW_US for line in lines)
 
 
-def mcap_(rows: list[Record], path: Path) -> None:
+def write_mcap(records: list[Record], path: Path) -> None:
     from mcap.writer import CompressionType
     from mcap.writer import Writer as McapWriter
 
     with open(path, "wb") as file:
-        # Typed loosely: whether the library is installed (the extra `bench`) must not change the verdict of mypy.
+        # Untyped, so that mypy gives the same result whether or not the library (extra `bench`) is installed.
         writer: Any = McapWriter(file, compression=CompressionType.ZSTD, chunk_size=1 << 20)
         writer.start()
         channels: dict[str, int] = {}
         encode = msgspec.msgpack.Encoder().encode
-        for row in rows:
-            kind = record_kind(row)
+        for record in records:
+            kind = record_kind(record)
             if kind not in channels:
                 schema = writer.register_schema(kind, "jsonschema", b"{}")
                 channels[kind] = writer.register_channel(kind, "msgpack", schema)
-            writer.add_message(channels[kind], row.at * 1000, encode(row), row.at * 1000)
+            writer.add_message(channels[kind], record.at * 1000, encode(record), record.at * 1000)
         writer.finish()
 
 
-def mcap_window(path: Path, since: int) -> int:
+def read_mcap_window(path: Path, since: int) -> int:
     from mcap.reader import make_reader
 
     with open(path, "rb") as file:
@@ -88,41 +88,41 @@
         )
 
 
-def _tables(rows: list[Record]) -> dict[str, Any]:
+def _arrow_tables(records: list[Record]) -> dict[str, Any]:
     import pyarrow as pa
 
     kinds: dict[str, list[Any]] = {}
-    for n, row in enumerate(rows):
-        kinds.setdefault(record_kind(row), []).append(msgspec.to_builtins(row) | {"n": n})
-    return {kind: pa.Table.from_pylist(of_kind) for kind, of_kind in kinds.items()}
+    for number, record in enumerate(records):
+        kinds.setdefault(record_kind(record), []).append(msgspec.to_builtins(record) | {"n": number})
+    return {kind: pa.Table.from_pylist(same_kind) for kind, same_kind in kinds.items()}
 
 
-def parquet(rows: list[Record], path: Path) -> None:
-    import pyarrow.parquet as pq
+def write_parquet(records: list[Record], path: Path) -> None:
+    import pyarrow.write_parquet as pq
 
     path.mkdir()
-    for kind, table in _tables(rows).items():
+    for kind, table in _arrow_tables(records).items():
         pq.write_table(table, path / kind, compression="zstd", compression_level=9, row_group_size=32768)
 
 
-def parquet_window(path: Path, since: int) -> int:
-    import pyarrow.parquet as pq
+def read_parquet_window(path: Path, since: int) -> int:
+    import pyarrow.write_parquet as pq
 
     window = [("at", ">=", since), ("at", "<", since + WINDOW_US)]
     return sum(pq.read_table(kind, filters=window).num_rows for kind in path.iterdir())
 
 
-def arrow(rows: list[Record], path: Path) -> None:
+def write_arrow(records: list[Record], path: Path) -> None:
     import pyarrow as pa
 
     path.mkdir()
     options = pa.ipc.IpcWriteOptions(compression=pa.Codec("zstd", 9))
-    for kind, table in _tables(rows).items():
+    for kind, table in _arrow_tables(records).items():
         with pa.OSFile(str(path / kind), "wb") as out, pa.ipc.new_file(out, table.schema, options=options) as writer:
             writer.write_table(table, max_chunksize=32768)
 
 
-def arrow_window(path: Path, since: int) -> int:
+def read_arrow_window(path: Path, since: int) -> int:
     import pyarrow as pa
     import pyarrow.compute as pc
 
@@ -134,45 +134,45 @@
     return count
 
 
-def sqlite(rows: list[Record], path: Path) -> None:
-    base = sqlite3.connect(path)
-    base.execute("create table r (at integer, kind text, id text, host text, body blob)")
+def write_sqlite(records: list[Record], path: Path) -> None:
+    database = sqlite3.connect(path)
+    database.execute("create table r (at integer, kind text, id text, host text, body blob)")
     encode = msgspec.msgpack.Encoder().encode
-    base.executemany(
+    database.executemany(
         "insert into r values (?,?,?,?,?)",
-        ((r.at, record_kind(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in rows),
+        ((r.at, record_kind(r), getattr(r, "id", None), getattr(r, "host", None), encode(r)) for r in records),
     )
-    base.execute("create index a on r (at)")
-    base.execute("create index i on r (id)")
-    base.commit()
-    base.close()
+    database.execute("create index a on r (at)")
+    database.execute("create index i on r (id)")
+    database.commit()
+    database.close()
 
 
-def sqlite_window(path: Path, since: int) -> int:
-    base = sqlite3.connect(path)
+def read_sqlite_window(path: Path, since: int) -> int:
+    database = sqlite3.connect(path)
     decode = msgspec.msgpack.Decoder().decode
     return sum(
         1
-        for (body,) in base.execute("select body from r where at >= ? and at < ?", (since, since + WINDOW_US))
+        for (body,) in database.execute("select body from r where at >= ? and at < ?", (since, since + WINDOW_US))
         if decode(body)
     )
 
 
 FORMATS: tuple[tuple[str, Callable[[list[Record], Path], None], Callable[[Path, int], int]], ...] = (
-    ("json.gz", gzipped, json_window),
-    ("json", json_lines, json_window),
-    ("columns", columns, our_window),
-    ("rows", rows_, our_window),
-    ("mcap", mcap_, mcap_window),
-    ("parquet", parquet, parquet_window),
-    ("arrow", arrow, arrow_window),
-    ("sqlite", sqlite, sqlite_window),
+    ("json.gz", write_gzip, read_json_window),
+    ("json", write_json, read_json_window),
+    ("columns", write_columns, read_window),
+    ("rows", write_rows, read_window),
+    ("mcap", write_mcap, read_mcap_window),
+    ("parquet", write_parquet, read_parquet_window),
+    ("arrow", write_arrow, read_arrow_window),
+    ("sqlite", write_sqlite, read_sqlite_window),
 )
 
 
 @click.command()
 @click.option("--records", default=200_000, show_default=True)
-@click.option("--only", multiple=True, help="Only these formats (json.gz is always there).")
+@click.option("--only", multiple=True, help="Only these formats, and json.gz.")
 def main(records: int, only: tuple[str, ...]) -> None:
     """Write the same records in each format and compare."""
     rows = list(itertools.islice(Fleet(script=SCRIPT).records(), records))
@@ -181,23 +181,23 @@
     click.echo(f"{records} records over {(rows[-1].at - rows[0].at) / 1e6:.0f} s; a window of 10 s holds {count}")
     baseline = 0
     with tempfile.TemporaryDirectory() as folder:
-        for name, write, window in FORMATS:
+        for name, write, read in FORMATS:
             if only and name not in (*only, "json.gz"):
                 continue
             path = Path(folder) / f"t.{name}"
-            began = time.perf_counter()
+            started = time.perf_counter()
             write(rows, path)
-            wrote = time.perf_counter() - began
+            write_s = time.perf_counter() - started
             size = sum(p.stat().st_size for p in path.iterdir()) if path.is_dir() else path.stat().st_size
             baseline = baseline or size
-            began = time.perf_counter()
-            found = window(path, since)
-            took = time.perf_counter() - began
+            started = time.perf_counter()
+            found = read(path, since)
+            read_s = time.perf_counter() - started
             assert found == count, (name, found, count)
             click.echo(
-                f"{name:8} {size / records:7.2f} bytes a record, {baseline / size:5.2f} times smaller than "
-                f"gzip'd lines; written at {wrote / records * 1e6:5.1f} us a record; "
-                f"window {took * 1000:6.0f} ms"
+                f"{name:8} {size / records:7.2f} bytes per record, {baseline / size:5.2f} times smaller than "
+                f"gzip'd lines; written at {write_s / records * 1e6:5.1f} us per record; "
+                f"window {read_s * 1000:6.0f} ms"
             )
 
 
