--- a/benchmarks/trace_find.py
+++ b/benchmarks/trace_find.py
@@ -101,7 +101,7 @@
             time_command("trace", "story", path, request_id, runs=1)[0]
             for request_id in request_ids[:: max(1, len(request_ids) // 10)]
         )
-        click.echo(f"a request's story: {story_s * 1000:.0f} ms at most, of ten requests all over the file")
+        click.echo(f"one request: {story_s * 1000:.0f} ms at most, of ten requests from all over the file")
         info_s = time_command("trace", "info", path)[0]
         click.echo(f"info: {info_s * 1000:.0f} ms")
         if lossless:
@@ -114,7 +114,7 @@
                 click.echo(f"{step[0]}: {time_command('trace', *step, runs=1)[0]:.1f} s")
             hashes = [hashlib.sha256(p.read_bytes()).hexdigest() for p in (exported, exported_again)]
             assert hashes[0] == hashes[1] and (records > MILLION or hashes[0] == digest.hexdigest())
-            click.echo(f"written, read and written again alike: sha256 {hashes[0][:16]}")
+            click.echo(f"identical after export, import and export: sha256 {hashes[0][:16]}")
 
 
 if __name__ == "__main__":
--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -72,12 +72,12 @@
 def _query(
     reader: Reader, since: int | None, until: int | None, id_: str | None, host: str | None, cls: str | None
 ) -> Query:
-    def first() -> int:
+    def first_record_us() -> int:
         earliest = min((location.frame.first_us for location in reader.block_locations()), default=0)
         reader.clear_findings()
         return earliest
 
-    return Query(resolve(since, first), resolve(until, first), id_, host, cls)
+    return Query(resolve(since, first_record_us), resolve(until, first_record_us), id_, host, cls)
 
 
 def _query_options(function: Callable[..., None]) -> Callable[..., None]:
--- a/bramblestile/trace/columns.py
+++ b/bramblestile/trace/columns.py
@@ -180,7 +180,7 @@
 
 
 def _join_planes(numbers: array[N], raw: memoryview, count: int, width: int) -> array[N]:
-    """Decode byte planes into ``numbers``, an empty array of the wanted type."""
+    """Decode byte planes into ``numbers``, an empty array of the required type."""
     if width == 1:
         numbers.frombytes(raw)
         return numbers
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -91,8 +91,8 @@
                 request.cls,
                 request.remaining_us,
                 request.tenant,
-                _hex(request.key),
-                _hex(request.group),
+                _to_hex(request.key),
+                _to_hex(request.group),
                 request.load_hint,
                 request.is_retry,
                 request.is_return,
@@ -393,5 +393,5 @@
         self._file = self._writer = None
 
 
-def _hex(value: int | None) -> str | None:
+def _to_hex(value: int | None) -> str | None:
     return None if value is None else f"{value:016x}"
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -40,7 +40,7 @@
     return list(itertools.islice(Fleet(script=SCRIPT, rate=80.0, **settings).records(), count))
 
 
-ROWS = fleet_records(1500)
+RECORDS = fleet_records(1500)
 
 
 def write(
@@ -102,7 +102,7 @@
 
 
 def test_json_lines_are_lossless() -> None:
-    assert [from_json(to_json(r)) for r in ROWS] == ROWS
+    assert [from_json(to_json(r)) for r in RECORDS] == RECORDS
 
 
 @settings(deadline=None)
@@ -139,25 +139,25 @@
 
 @LAYOUTS
 def test_queries_by_window_request_host_and_class(tmp_path: Path, layout: int) -> None:
-    path = write(tmp_path / "t.trace", ROWS, layout=layout)
-    assert read(path)[0] == ROWS
-    since, until = ROWS[400].at, ROWS[900].at
-    assert read(path, Query(since, until))[0] == [r for r in ROWS if since <= r.at < until]
-    request = next(r for r in ROWS[300:] if isinstance(r, Request))
-    assert read(path, Query(id=request.id))[0] == [r for r in ROWS if getattr(r, "id", None) == request.id]
-    host = next(r.host for r in ROWS if isinstance(r, Decision) and r.host)
+    path = write(tmp_path / "t.trace", RECORDS, layout=layout)
+    assert read(path)[0] == RECORDS
+    since, until = RECORDS[400].at, RECORDS[900].at
+    assert read(path, Query(since, until))[0] == [r for r in RECORDS if since <= r.at < until]
+    request = next(r for r in RECORDS[300:] if isinstance(r, Request))
+    assert read(path, Query(id=request.id))[0] == [r for r in RECORDS if getattr(r, "id", None) == request.id]
+    host = next(r.host for r in RECORDS if isinstance(r, Decision) and r.host)
     found = read(path, Query(host=host))[0]
-    expected = [r for r in ROWS if host.encode() in to_json(r)]
+    expected = [r for r in RECORDS if host.encode() in to_json(r)]
     assert found == expected and len(found) > 20
-    ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == request.cls}
+    ids = {r.id for r in RECORDS if isinstance(r, Request) and r.cls == request.cls}
     assert read(path, Query(since, until, cls=request.cls))[0] == [
-        r for r in ROWS if since <= r.at < until and getattr(r, "id", None) in ids
+        r for r in RECORDS if since <= r.at < until and getattr(r, "id", None) in ids
     ]
 
 
 def test_a_query_by_request_decodes_only_its_blocks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    path = write(tmp_path / "t.trace", ROWS, block=50)
-    request = next(r for r in ROWS if isinstance(r, Request))
+    path = write(tmp_path / "t.trace", RECORDS, block=50)
+    request = next(r for r in RECORDS if isinstance(r, Request))
     decoded_blocks: list[int] = []
     original = frames.BlockDecoder.decode
 
@@ -167,7 +167,7 @@
 
     monkeypatch.setattr(frames.BlockDecoder, "decode", counting)
     found = read(path, Query(id=request.id))[0]
-    holding = {n // 50 for n, r in enumerate(ROWS) if getattr(r, "id", None) == request.id}
+    holding = {n // 50 for n, r in enumerate(RECORDS) if getattr(r, "id", None) == request.id}
     assert len(found) >= 4 and set(decoded_blocks) == holding
 
 
@@ -189,48 +189,48 @@
 
 @LAYOUTS
 def test_a_file_truncated_at_any_byte_of_its_last_two_blocks(memory_path: Path, layout: int) -> None:
-    path = write(memory_path / "t.trace", ROWS[:230], layout=layout, block=100)
+    path = write(memory_path / "t.trace", RECORDS[:230], layout=layout, block=100)
     whole = path.read_bytes()
     with Reader(path) as reader:
         locations = list(reader.block_locations())
     for end in range(locations[1].offset, len(whole)):
         path.write_bytes(whole[:end])
         found, reader = read(path)
-        assert found == ROWS[: 100 if end < locations[2].offset else 200]
+        assert found == RECORDS[: 100 if end < locations[2].offset else 200]
         assert reader.damage_count == (0 if end in (locations[1].offset, locations[2].offset) else 1)
 
 
 @pytest.mark.parametrize("layout", [frames.COLUMNS, frames.ROWS])
 def test_a_flipped_bit_costs_one_block_and_is_reported(memory_path: Path, layout: int) -> None:
-    path = write(memory_path / "t.trace", ROWS[:800], layout=layout)
+    path = write(memory_path / "t.trace", RECORDS[:800], layout=layout)
     whole = path.read_bytes()
     rng = random.Random(7)
     for _ in range(500):
         position = rng.randrange(len(whole))
         path.write_bytes(whole[:position] + bytes([whole[position] ^ 1 << rng.randrange(8)]) + whole[position + 1 :])
         found, reader = read(path)
-        check_missing_blocks(found, ROWS[:800], 1)
+        check_missing_blocks(found, RECORDS[:800], 1)
         assert reader.damage_count == 1 and 0 <= reader.damage[0].offset <= position
 
 
 def test_zeros_at_the_end_and_in_the_middle_are_reported_with_their_offset(tmp_path: Path) -> None:
-    path = write(tmp_path / "t.trace", ROWS[:500])
+    path = write(tmp_path / "t.trace", RECORDS[:500])
     whole = path.read_bytes()
     path.write_bytes(whole + bytes(5000))
     found, reader = read(path)
-    assert found == ROWS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
+    assert found == RECORDS[:500] and str(reader.damage[0]) == f"offset {len(whole)}: 5000 bytes: zeros"
     with Reader(path) as reader:
         hole = list(reader.block_locations())[2]
     path.write_bytes(whole[: hole.offset + 3] + bytes(hole.frame.size) + whole[hole.offset + 3 + hole.frame.size :])
     found, reader = read(path)
-    check_missing_blocks(found, ROWS[:500], 2)
+    check_missing_blocks(found, RECORDS[:500], 2)
 
 
 @settings(deadline=None, max_examples=150)
 @given(st.data())
 def test_invalid_payloads_raise_only_trace_error(data: st.DataObject) -> None:
     """Payloads with valid checksums and invalid content, as a faulty or malicious program might write."""
-    raw = bytearray(payload.encode(ROWS[:60]) if data.draw(st.booleans()) else rows.encode(ROWS[:60]))
+    raw = bytearray(payload.encode(RECORDS[:60]) if data.draw(st.booleans()) else rows.encode(RECORDS[:60]))
     layout = frames.ROWS if raw.startswith(rows._HEADER) else frames.COLUMNS
     for _ in range(data.draw(st.integers(1, 4))):
         position = data.draw(st.integers(0, len(raw) - 1))
@@ -265,7 +265,7 @@
 
 def test_false_lengths_allocate_no_memory() -> None:
     """A frame that claims 4 GB, a block that claims to decompress to that, a column of 2^60 values."""
-    frame = frames.decode_frame(frames.BlockEncoder(1).encode_block(ROWS[:5], 0))
+    frame = frames.decode_frame(frames.BlockEncoder(1).encode_block(RECORDS[:5], 0))
     assert frame is not None
     for change in ({"raw_bytes": 1 << 31}, {"filter_bytes": 1 << 30}, {"record_count": 1 << 30}):
         assert frames.decode_frame(replace(frame, **change).encode()) is None
@@ -298,7 +298,7 @@
     written: list[Record] = [
         StartedWithNewField("here", cores=4, at=1),
         NewKind("x", [HostState("a", "running")], at=2),
-        ROWS[1],
+        RECORDS[1],
     ]
     with monkeypatch.context() as patch:
         patch.setattr(payload, "KINDS", (*KINDS, NewKind, StartedWithNewField))
@@ -316,7 +316,7 @@
         raw = payload.encode(written) if layout == frames.COLUMNS else rows.encode(written)
     unknown = UnknownCounts()
     found = payload.decode(raw, unknown) if layout == frames.COLUMNS else rows.decode(raw, unknown)
-    assert found == [Started("here", at=1), ROWS[1]]
+    assert found == [Started("here", at=1), RECORDS[1]]
     assert {k.lower(): v for k, v in unknown.counts.items()} == {"newer": 1, "started.cores": 1}
 
 
@@ -324,7 +324,7 @@
 def test_columns_that_refer_to_skipped_records_are_rejected(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(schema.TYPES_BY_KIND[kind], "VERSION", 2)
-        raw = payload.encode(ROWS)
+        raw = payload.encode(RECORDS)
     with pytest.raises(ColumnError, match="refers to records of a newer program"):
         payload.decode(raw, UnknownCounts())
 
@@ -392,7 +392,7 @@
 def test_a_newer_major_version_and_a_foreign_file_are_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(frames, "MAJOR", 2)
-        path = write(tmp_path / "t.trace", ROWS[:5])
+        path = write(tmp_path / "t.trace", RECORDS[:5])
     with pytest.raises(TraceError, match=r"^version 2\.0 of the format; this program reads 1\.x$"):
         Reader(path)
     path.write_bytes(b"# notes\n" * 100)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -37,7 +37,7 @@
 from tests.fleet import START, TENANTS, Fleet
 
 SCRIPT = ((2, "drain", "3"), (3, "die", "5"), (5, "back", "3"), (6, "drain", "7"), (7, "back", "5"))
-ROWS = list(itertools.islice(Fleet(script=SCRIPT, rate=60.0).records(), 4000))
+RECORDS = list(itertools.islice(Fleet(script=SCRIPT, rate=60.0).records(), 4000))
 
 
 def save(path: Path, records: Sequence[Record], layout: int = frames.COLUMNS, **description: object) -> Path:
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def trace(tmp_path: Path) -> Path:
-    return save(tmp_path / "t.trace", ROWS, instance="n1", hall="bergen-hall")
+    return save(tmp_path / "t.trace", RECORDS, instance="n1", hall="bergen-hall")
 
 
 def run(*arguments: object) -> int:
@@ -67,9 +67,9 @@
 ) -> None:
     lines = tmp_path / "t.jsonl"
     assert run("export", trace, "-o", lines) == 0
-    assert lines.read_bytes() == b"".join(to_json(r) + b"\n" for r in ROWS)
+    assert lines.read_bytes() == b"".join(to_json(r) + b"\n" for r in RECORDS)
     assert run("import", lines, tmp_path / "again.trace") == 0
-    assert load(tmp_path / "again.trace") == ROWS
+    assert load(tmp_path / "again.trace") == RECORDS
     capfdbinary.readouterr()
     assert run("export", tmp_path / "again.trace") == 0
     assert capfdbinary.readouterr().out == lines.read_bytes()
@@ -83,7 +83,7 @@
         done = subprocess.run(
             [*command, "import", "-", str(out)], stdin=export.stdout, capture_output=True, check=False
         )
-    assert done.returncode == 0 and load(out) == ROWS
+    assert done.returncode == 0 and load(out) == RECORDS
     with subprocess.Popen([*command, "export", str(trace)], stdout=subprocess.PIPE, stderr=subprocess.PIPE) as export:
         assert export.stdout is not None and export.stderr is not None
         export.stdout.readline()
@@ -92,9 +92,9 @@
 
 
 def test_export_of_a_time_window(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    first = min(map(corrected_time, ROWS))
+    first = min(map(corrected_time, RECORDS))
     assert run("export", trace, "--from", "+2s", "--to", str(first + 4_000_000)) == 0
-    expected = [r for r in ROWS if first + 2_000_000 <= r.at < first + 4_000_000]
+    expected = [r for r in RECORDS if first + 2_000_000 <= r.at < first + 4_000_000]
     assert capfd.readouterr().out == "".join(to_json(r).decode() + "\n" for r in expected) and expected
     assert run("export", trace, "--from", "yesterday") == 2
     assert capfd.readouterr().err.count("\n") == 1
@@ -112,14 +112,14 @@
     assert run("recover", trace, tmp_path / "r.trace") == 0
     output = capfd.readouterr()
     assert f"offset {third.offset}: " in output.err and "500 records" in output.err and "Traceback" not in output.err
-    assert load(tmp_path / "r.trace") == ROWS[:1000] + ROWS[1500:3500]
+    assert load(tmp_path / "r.trace") == RECORDS[:1000] + RECORDS[1500:3500]
 
 
 def test_cut_copies_a_class_and_records_its_source(tmp_path: Path, trace: Path) -> None:
     out = tmp_path / "c.trace"
     assert run("cut", trace, "--class", "deep-zoom", "-o", out) == 0
-    ids = {r.id for r in ROWS if isinstance(r, Request) and r.cls == "deep-zoom"}
-    assert load(out) == [r for r in ROWS if getattr(r, "id", None) in ids]
+    ids = {r.id for r in RECORDS if isinstance(r, Request) and r.cls == "deep-zoom"}
+    assert load(out) == [r for r in RECORDS if getattr(r, "id", None) in ids]
     with Reader(out) as reader:
         assert reader.description["cut_from"] == "t.trace" and reader.description["instance"] == "n1"
 
@@ -131,9 +131,9 @@
     out.write_text("mine")
     assert run("cut", trace, "-o", out) == 2 and out.read_text() == "mine"
     assert capfd.readouterr().err == f"bramblestile: {out}: already exists; --force overwrites it\n"
-    assert run("cut", trace, "-o", out, "--force") == 0 and load(out) == ROWS
+    assert run("cut", trace, "-o", out, "--force") == 0 and load(out) == RECORDS
     bad = tmp_path / "bad.jsonl"
-    bad.write_bytes(to_json(ROWS[0]) + b"\n" + b'{"kind":"stand","id":"x","at":"soon"}\n')
+    bad.write_bytes(to_json(RECORDS[0]) + b"\n" + b'{"kind":"stand","id":"x","at":"soon"}\n')
     assert run("import", bad, tmp_path / "new.trace") == 2
     assert "line 2: Expected `int`, got `str` - at `$.at`" in capfd.readouterr().err
     assert sorted(p.name for p in tmp_path.iterdir()) == ["bad.jsonl", "o.trace", "t.trace"]
@@ -149,7 +149,7 @@
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     ) as command:
         assert command.stdin is not None and command.stderr is not None
-        command.stdin.write(b"".join(to_json(r) + b"\n" for r in ROWS))
+        command.stdin.write(b"".join(to_json(r) + b"\n" for r in RECORDS))
         command.stdin.flush()
         while not list(tmp_path.glob(".o.trace.*.part")):
             assert command.poll() is None
@@ -260,7 +260,7 @@
 
 
 def test_missing_links_are_reported_and_nothing_is_guessed() -> None:
-    nothing = estimate_offset(clock_events(ROWS[:50]), ClockEvents())
+    nothing = estimate_offset(clock_events(RECORDS[:50]), ClockEvents())
     assert nothing.method == "nothing" and math.isinf(nothing.error_us) and nothing.correction_us(START) == 0
     one_way = estimate_offset(
         clock_events([Request("r", "lines", "feed", 1, key="a", at=START), Moved("r", "h", "drain", at=START)]),
@@ -322,8 +322,8 @@
 
 def test_anonymise_is_consistent_and_leaves_no_original_value(tmp_path: Path) -> None:
     records: list[Record] = [
-        *ROWS,
-        Logged("info", "check", "vestland-museum asked", id=ROWS[1].id, at=START),  # type: ignore[attr-defined]
+        *RECORDS,
+        Logged("info", "check", "vestland-museum asked", id=RECORDS[1].id, at=START),  # type: ignore[attr-defined]
         Reloaded(False, "settings: fjord-kunstsamling: unheard of", at=START),
     ]
     key, other_key = tmp_path / "key", tmp_path / "other"
@@ -333,9 +333,9 @@
     outs = [tmp_path / f"{n}.out" for n in range(3)]
     for source, secret, out in ((first, key, outs[0]), (second, key, outs[1]), (first, other_key, outs[2])):
         assert run("anonymise", source, "-o", out, "--key-file", secret, *(["--hosts"] if out == outs[0] else [])) == 0
-    requests = [r for r in ROWS if isinstance(r, Request)]
+    requests = [r for r in RECORDS if isinstance(r, Request)]
     originals = {v.encode() for r in requests for v in (r.id, r.key, r.group, r.tenant) if v} | {
-        h.host.encode() for r in ROWS if isinstance(r, Listed) for h in r.hosts
+        h.host.encode() for r in RECORDS if isinstance(r, Listed) for h in r.hosts
     }
     with Reader(outs[0]) as reader:
         raw = b"".join(
@@ -371,11 +371,11 @@
 ) -> None:
     assert run("summarise", trace, "--format", "json", "--window", "5") == 0
     data = json.loads(capfd.readouterr().out)
-    requests = [r for r in ROWS if isinstance(r, Request)]
+    requests = [r for r in RECORDS if isinstance(r, Request)]
     assert data["total"]["requests"] == len(requests) == sum(g["requests"] for g in data["by_class"].values())
     assert set(data["by_hall"]) == {"bergen-hall"} and set(data["by_tenant"]) == {r.tenant for r in requests}
     assert sum(w["requests"] for w in data["windows"]) == len(requests) and len(data["windows"]) == 3
-    served = sorted(r.took_us for r in ROWS if getattr(r, "outcome", "") == "served")  # type: ignore[attr-defined]
+    served = sorted(r.took_us for r in RECORDS if getattr(r, "outcome", "") == "served")  # type: ignore[attr-defined]
     assert data["total"]["served"] == len(served)
     assert abs(data["total"]["up_p50_us"] - served[len(served) // 2]) < 0.01 * served[len(served) // 2] + 100
     assert run("summarise", trace, "--format", "csv") == 0
@@ -401,7 +401,7 @@
 
 
 def test_story_shows_the_candidates_of_a_decision(trace: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    request = next(r for r in ROWS[200:] if isinstance(r, Request))
+    request = next(r for r in RECORDS[200:] if isinstance(r, Request))
     assert run("story", trace, request.id) == 0
     out = capfd.readouterr().out
     assert f"class {request.cls}, tenant {request.tenant}" in out and "of the draw (weight 256)" in out
