--- a/bramblestile/clock.py
+++ b/bramblestile/clock.py
@@ -7,7 +7,7 @@
 
 # Read once: the machine's clock may be set while we run, and a time that jumps would end every deadline.
 _OFFSET_NS = time.time_ns() - time.monotonic_ns()
-NOTHING = timedelta(0)
+ZERO_DURATION = timedelta(0)
 MICROSECOND = timedelta(microseconds=1)
 
 
@@ -15,5 +15,5 @@
     return timedelta(microseconds=(time.monotonic_ns() + _OFFSET_NS) // 1000)
 
 
-def milliseconds(span: timedelta) -> int:
+def to_milliseconds(span: timedelta) -> int:
     return span // timedelta(milliseconds=1)
--- a/bramblestile/fleet/board.py
+++ b/bramblestile/fleet/board.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from zlib import crc32
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 from bramblestile.fleet.messages import BUCKETS, Entry, bucket_of
 
 MOST = 4096  # owners
@@ -81,4 +81,4 @@
 
 
 def as_of(entry: Entry, left: timedelta) -> Entry:
-    return Entry(entry.owner, entry.key, entry.version, entry.value, max(NOTHING, left) // MILLISECOND)
+    return Entry(entry.owner, entry.key, entry.version, entry.value, max(ZERO_DURATION, left) // MILLISECOND)
--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -20,7 +20,7 @@
 from random import Random
 from typing import Any
 
-from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
+from bramblestile.clock import MICROSECOND, ZERO_DURATION, now, to_milliseconds
 from bramblestile.fleet.members import Change, Members, Out, Pace
 from bramblestile.fleet.messages import LARGEST, Fact, Kind, Message, MessageError, State, decoded, encoded
 from bramblestile.fleet.sealing import OVERHEAD, Seal, SealError
@@ -159,16 +159,16 @@
                 rows.append(
                     _row(
                         known.fact,
-                        milliseconds(at - known.since),
+                        to_milliseconds(at - known.since),
                         {"by": sorted(known.suspicion.accusers)} if known.suspicion else {},
                     )
                 )
             figures = {key: m.board.all(key, at) for key in ("traffic",)}
             health, holder, counts = m.health.score, m.holder, dict(m.counts)
             slow = {
-                "trip_ms": milliseconds(m.trips.usual),
-                "trip_bound_ms": milliseconds(m.trips.bound),
-                "late_ms": milliseconds(m.late),
+                "trip_ms": to_milliseconds(m.trips.usual),
+                "trip_bound_ms": to_milliseconds(m.trips.bound),
+                "late_ms": to_milliseconds(m.late),
                 "news": len(m.rumours),
             }
         for row in rows:
@@ -208,7 +208,7 @@
                 self._sock = self._open()
         with self._lock:
             due = self._members.due() if self._sock is not None else self._try_at
-        wait = max(NOTHING, min(due - now(), LONGEST_WAIT))
+        wait = max(ZERO_DURATION, min(due - now(), LONGEST_WAIT))
         for fd, _ in self._poll.poll(wait / MILLISECOND):
             if fd == self._wake_read:
                 os.read(self._wake_read, 4096)
@@ -264,7 +264,7 @@
         with self._lock:
             self._members.lives[to] = life
         with self._sending:
-            at, raw = self._unheard.pop(to, (NOTHING, b""))
+            at, raw = self._unheard.pop(to, (ZERO_DURATION, b""))
             sealed = self._seal.close(raw, life)
         if raw and now() - at <= UNHEARD_FOR:
             self._write(sealed, to)
--- a/bramblestile/fleet/members.py
+++ b/bramblestile/fleet/members.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 from bramblestile.fleet.board import Board
 from bramblestile.fleet.messages import (
     BUCKETS,
@@ -181,8 +181,8 @@
         self._number = random.getrandbits(24)
         self._last = at
         self._wanted = at
-        self._away_at = NOTHING  # when we last compared notes for having been away
-        self.late = NOTHING  # how late our steps usually are
+        self._away_at = ZERO_DURATION  # when we last compared notes for having been away
+        self.late = ZERO_DURATION  # how late our steps usually are
         self.trips = Trips()
         self._ended: dict[int, _Probe] = {}  # those that failed: a late answer tells of its trip
         self._probe_at = at + self.pace.period * random.random()
@@ -237,7 +237,7 @@
 
     def step(self, at: timedelta) -> list[Out]:
         """To be called after all that has arrived was heard."""
-        late = at - self._wanted if at > self._wanted else NOTHING
+        late = at - self._wanted if at > self._wanted else ZERO_DURATION
         self.late += (late - self.late) / LATE_OVER
         if late >= self.pace.lag:
             self._was_away(at - self._last if self._last > self._wanted else late, at)
--- a/bramblestile/fleet/telling.py
+++ b/bramblestile/fleet/telling.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 
 ALL_PER_S = 10.0
 SOONEST = timedelta(seconds=1)
@@ -26,8 +26,8 @@
 
     random: Random
     told: float | None = None
-    next: timedelta = NOTHING  # no sooner, however it changes
-    due: timedelta = NOTHING
+    next: timedelta = ZERO_DURATION  # no sooner, however it changes
+    due: timedelta = ZERO_DURATION
 
     def wants(self, value: float, members: int, at: timedelta) -> timedelta | None:
         """For how long the entry is to hold, where this is the moment to tell it."""
--- a/bramblestile/fleet/trips.py
+++ b/bramblestile/fleet/trips.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 
 LONGEST = timedelta(milliseconds=320)  # a bound beyond this would hide the dead
 HALF_LIFE = timedelta(seconds=1)  # of what is remembered: slow probes are few, and must not be remembered the longer
@@ -16,13 +16,13 @@
     """Of whomever answers, sooner or later; who never does tells nothing, or a member that dies would lengthen the wait
     for the next one."""
 
-    usual: timedelta = NOTHING
-    varies: timedelta = NOTHING
-    at: timedelta = NOTHING  # when the last one came
+    usual: timedelta = ZERO_DURATION
+    varies: timedelta = ZERO_DURATION
+    at: timedelta = ZERO_DURATION  # when the last one came
 
     def seen(self, span: timedelta, at: timedelta) -> None:
         span = min(span, LONGEST)
-        faded = 1 - 0.5 ** (max(NOTHING, at - self.at) / HALF_LIFE)
+        faded = 1 - 0.5 ** (max(ZERO_DURATION, at - self.at) / HALF_LIFE)
         off = abs(span - self.usual)
         self.usual += (span - self.usual) * max(1 / 8, faded)
         self.varies += (off - self.varies) * max(1 / 4, faded)
--- a/bramblestile/lab/faults.py
+++ b/bramblestile/lab/faults.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 
 Between = Callable[[str, str], bool]
 
@@ -19,10 +19,10 @@
     between: Between
     loss: float = 0.0
     doubled: float = 0.0
-    delay: timedelta = NOTHING
-    jitter: timedelta = NOTHING
+    delay: timedelta = ZERO_DURATION
+    jitter: timedelta = ZERO_DURATION
     late: float = 0.0
-    by: timedelta = NOTHING
+    by: timedelta = ZERO_DURATION
 
 
 def split(group: Collection[str]) -> Between:
@@ -61,7 +61,7 @@
     def copies(self, source: str, target: str) -> list[timedelta]:
         """When each copy of a piece arrives, from now; none where it is lost."""
         draw = self.random.random
-        after, count = NOTHING, 1
+        after, count = ZERO_DURATION, 1
         for fault in self.faults.values():
             if not fault.between(source, target):
                 continue
--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -23,7 +23,7 @@
 
 from msgspec import structs
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 from bramblestile.store.journal import Journal
 from bramblestile.store.replica import DRIFT, Message, Replica
 from bramblestile.work import plan_state
@@ -76,15 +76,15 @@
     scheduler: Scheduler | None = None
     running: bool = True
     paused: bool = False
-    wall_clock_error: timedelta = NOTHING
+    wall_clock_error: timedelta = ZERO_DURATION
     inbox: list[tuple[str, AnyMessage]] = field(default_factory=list)
     plan_cache: tuple[int, PlanState] = (-1, PlanState())
     plan_cache_index: int = -1
-    sending_until: timedelta = NOTHING
+    sending_until: timedelta = ZERO_DURATION
     queued_entries: list[tuple[str, str]] = field(default_factory=list)
     commands: set[str] = field(default_factory=set)
     restarts: int = 0
-    clock_reading: tuple[timedelta, timedelta] = (NOTHING, NOTHING)
+    clock_reading: tuple[timedelta, timedelta] = (ZERO_DURATION, ZERO_DURATION)
 
 
 @dataclass(slots=True)
--- a/bramblestile/lab/membership_simulation.py
+++ b/bramblestile/lab/membership_simulation.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramblestile.clock import MICROSECOND, NOTHING
+from bramblestile.clock import MICROSECOND, ZERO_DURATION
 from bramblestile.fleet.members import Address, Change, Members, Pace
 from bramblestile.fleet.messages import Fact, Message, encoded
 from bramblestile.fleet.sealing import OVERHEAD
@@ -59,7 +59,7 @@
     running: bool = True
     paused: bool = False
     cpu_share: float = 1.0
-    phase: timedelta = NOTHING
+    phase: timedelta = ZERO_DURATION
     inbox: deque[tuple[Address, Message]] = field(default_factory=deque)
     next_step_at: timedelta | None = None
     sent: int = 0
--- a/bramblestile/lab/random_faults.py
+++ b/bramblestile/lab/random_faults.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 from bramblestile.fleet.members import Pace
 from bramblestile.fleet.messages import LARGEST, State, encoded
 from bramblestile.lab.membership_simulation import MembershipSimulation, Process
@@ -69,7 +69,9 @@
 
     def _mark_disturbed(self, names: list[str], duration: timedelta) -> None:
         for name in names:
-            self._disturbed_until[name] = max(self._disturbed_until.get(name, NOTHING), self.simulation.now + duration)
+            self._disturbed_until[name] = max(
+                self._disturbed_until.get(name, ZERO_DURATION), self.simulation.now + duration
+            )
 
     def _inject_fault(self) -> None:
         simulation, random = self.simulation, self.random
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Protocol
 
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.dialect import Answer, Asked, Downstream, NotUp, Upstream
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster
@@ -92,7 +92,7 @@
     request = api.Request(
         asked.id,
         asked.cls,
-        micros(max(asked.wait, NOTHING)),
+        micros(max(asked.wait, ZERO_DURATION)),
         asked.tenant,
         asked.key,
         asked.group,
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from vanegw.interface import Status
 
 MOST = 8192  # bytes passed on at once
@@ -113,7 +113,7 @@
     first_up: bytes = b""  # read too early, to go on first
     first_down: bytes = b""
     asked: deque[timedelta] = field(default_factory=deque)  # when each unanswered message went up
-    answered: timedelta = NOTHING  # when something last came back
+    answered: timedelta = ZERO_DURATION  # when something last came back
     lock: threading.Lock = field(default_factory=threading.Lock)  # writes to the downstream
     moved: bool = False
     started: bool = False  # the downstream has its first answer: only then can it be told to move
@@ -374,7 +374,7 @@
         try:
             return now() - self.asked[0]
         except IndexError:
-            return NOTHING
+            return ZERO_DURATION
 
 
 @dataclass(slots=True)
@@ -394,8 +394,8 @@
     """What is known of one upstream host's delay."""
 
     least: timedelta
-    prompt: timedelta = NOTHING  # when an answer last came in good time, on whichever connection
-    noted: timedelta = NOTHING
+    prompt: timedelta = ZERO_DURATION  # when an answer last came in good time, on whichever connection
+    noted: timedelta = ZERO_DURATION
     high: bool = False
 
 
--- a/bramblestile/operations/evacuation.py
+++ b/bramblestile/operations/evacuation.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import TypeVar
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 
 T = TypeVar("T")
 
@@ -30,7 +30,7 @@
             return ()
         if at >= self.last:
             return standing
-        left, passed = self.last - self._told, max(NOTHING, at - self._told)
+        left, passed = self.last - self._told, max(ZERO_DURATION, at - self._told)
         self._told = at
         self._owed += len(standing) * (passed / left)
         number = min(int(self._owed), len(standing))
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
 from bramblestile.operations import http
@@ -260,5 +260,5 @@
     def _end(self, caller: _Caller) -> None:
         if self._callers.pop(caller.sock.fileno(), None) is not None:
             self._poll.unregister(caller.sock)
-            sockets.close(caller.sock, linger=NOTHING)
+            sockets.close(caller.sock, linger=ZERO_DURATION)
             self._set_aside()
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -18,7 +18,7 @@
 from urllib.parse import quote
 
 from bramblestile import __version__, log, sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.life import adopt
 from bramblestile.log import Log
 from bramblestile.memory.connections import Standing
@@ -238,9 +238,9 @@
         if self.succession is not None and not self.succession.predecessor:
             self._take_from_inherited()
         for front in self.fronts:
-            front.heard.wait(max(NOTHING, until - now()).total_seconds())
+            front.heard.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.maintenance is not None:  # or it might send where nobody else does
-            self.maintenance.first_reply.wait(max(NOTHING, until - now()).total_seconds())
+            self.maintenance.first_reply.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.succession is not None:
             self.succession.wait_for_learned(RECALL_WITHIN)
         with self._recalling:  # only now: what it tells of hosts holds for those that are listed
@@ -533,7 +533,7 @@
         listeners = [front.listener for front in self.fronts if front.listener is not None]
         threading.Thread(
             target=self._stop_listening,
-            args=(listeners, NOTHING if succeeded else STILL_COMING),
+            args=(listeners, ZERO_DURATION if succeeded else STILL_COMING),
             name="closing",
             daemon=True,
         ).start()
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.life import House, live
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
@@ -139,7 +139,7 @@
             return plain(host, connect_within, until)
         return self.tls.dial(host, connect_within, until)
 
-    def warmth(self, host: UpstreamHost, later: timedelta = NOTHING) -> float:
+    def warmth(self, host: UpstreamHost, later: timedelta = ZERO_DURATION) -> float:
         """The part of its capacity that a host has by now, or so much later, as the module reckons it (``rules.py``,
         ``_warmth``)."""
         settings = self.config.settings
--- a/bramblestile/sockets.py
+++ b/bramblestile/sockets.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from datetime import timedelta
 
-from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
+from bramblestile.clock import MICROSECOND, ZERO_DURATION, now, to_milliseconds
 
 Address = tuple[str, int]
 READABLE = select.POLLIN
@@ -109,7 +109,7 @@
 
 def has_left(sock: socket.socket) -> bool:
     """The peer has ended its side or reset the connection; nothing is read."""
-    return wait((sock, select.POLLRDHUP), within=NOTHING) is sock
+    return wait((sock, select.POLLRDHUP), within=ZERO_DURATION) is sock
 
 
 def wait(*sides: tuple[Side, int], within: timedelta) -> Side | None:
@@ -120,7 +120,7 @@
             return sock
         poll.register(sock, events)
     # Rounded up: a wait that ends a fraction early would turn into a busy loop at its end.
-    ready = {fd for fd, _ in poll.poll(max(0, milliseconds(within + timedelta(microseconds=999))))}
+    ready = {fd for fd, _ in poll.poll(max(0, to_milliseconds(within + timedelta(microseconds=999))))}
     return next((sock for sock, _ in sides if sock.fileno() in ready), None)
 
 
@@ -130,7 +130,7 @@
         sock.shutdown(how)
 
 
-def close(sock: Side, reset: bool = False, linger: timedelta = NOTHING) -> None:
+def close(sock: Side, reset: bool = False, linger: timedelta = ZERO_DURATION) -> None:
     """Closes with FIN, or with RST. What lies unread is read first, and what comes within ``linger``: closing
     over it would send RST, which may overtake our last words. A peer that never stops sending is cut off."""
     if isinstance(sock, Channel):
@@ -144,7 +144,7 @@
             sock.setblocking(False)
             until = now() + linger
             for _ in range(MOST_UNREAD // len(_WASTE)):
-                if linger and wait((sock, READABLE), within=max(until - now(), NOTHING)) is None:
+                if linger and wait((sock, READABLE), within=max(until - now(), ZERO_DURATION)) is None:
                     break
                 if not sock.recv_into(_WASTE):
                     break
@@ -198,7 +198,7 @@
 
     def _wait(self, left: timedelta, beside: socket.socket | None) -> None:
         sides: list[tuple[Side, int]] = [(self.sock, select.POLLIN)] + ([(beside, select.POLLRDHUP)] if beside else [])
-        ready = wait(*sides, within=left) if left > NOTHING else None
+        ready = wait(*sides, within=left) if left > ZERO_DURATION else None
         if ready is None:
             raise TimeoutError
         if ready is beside:
--- a/bramblestile/store/service.py
+++ b/bramblestile/store/service.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.store.replica import HEARTBEAT, LONGEST_KEY, LONGEST_VALUE, Message, Replica
 
 
@@ -65,7 +65,7 @@
         self._after(out)
         with self._news:
             while place and self.replica.commit < place and now() < until:
-                self._news.wait(max(until - now(), NOTHING).total_seconds())
+                self._news.wait(max(until - now(), ZERO_DURATION).total_seconds())
             # Folded into a snapshot its term is no longer known, and we still lead in that term: it is ours.
             held = self.replica.journal.term_at(place)
             return 0 < place <= self.replica.commit and term in (held, self.replica.term if held is None else None)
--- a/bramblestile/tls/channel.py
+++ b/bramblestile/tls/channel.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.sockets import Channel, TruncatedError
 from bramblestile.tls import certificates
 from bramblestile.tls.judging import Facts
@@ -78,7 +78,7 @@
         while not self._step(judge):
             self._put_out(self._out.read())
             left = until - now()
-            if left <= NOTHING or sockets.wait((self._sock, sockets.READABLE), within=left) is None:
+            if left <= ZERO_DURATION or sockets.wait((self._sock, sockets.READABLE), within=left) is None:
                 raise HandshakeError(
                     "tls: no end of the handshake in time" if fed else "tls: no answer to the ClientHello"
                 )
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -13,7 +13,7 @@
 from datetime import UTC, datetime, timedelta
 
 from bramblestile import sockets
-from bramblestile.clock import MICROSECOND, NOTHING, now
+from bramblestile.clock import MICROSECOND, ZERO_DURATION, now
 from bramblestile.log import Log
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.counters import Counters
@@ -136,13 +136,15 @@
         at, warmth = self._clock(), self._warmth(host)
         with self._lock:
             ticket = self._tickets.take(key, at)
-            wait = self._budget.ask(host.id, ticket is not None, warmth, at, max(until - at, NOTHING) / WAIT_SHARE)
+            wait = self._budget.ask(
+                host.id, ticket is not None, warmth, at, max(until - at, ZERO_DURATION) / WAIT_SHARE
+            )
             if wait is None and ticket is not None and ticket.once:
                 self._tickets.put(key, ticket.session, ticket.chain, at, ticket.until - at)
         if wait is None:
             self._counters.add("tls_spared")
             raise NotDialledError(f"tls: {host.id}: no room for another handshake", spared=True)
-        if wait > NOTHING:
+        if wait > ZERO_DURATION:
             self._counters.add("tls_waited")
             time.sleep(wait.total_seconds())
         return ticket
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.sockets import Address, LineReader, text
 
 LONGEST = 4096
@@ -69,7 +69,7 @@
                 sockets.write(
                     sock, [b"GET ", check.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\nConnection: close\r\n\r\n"]
                 )
-            line = reader.line(max(until - now(), NOTHING))
+            line = reader.line(max(until - now(), ZERO_DURATION))
         except sockets.OverlongError:
             raise ConnectionError("an over-long answer") from None
         said = text(line) if line is not None else reader.rest().decode("ascii", "replace")
@@ -109,7 +109,7 @@
     until = now() + WITHIN
     try:
         words = text(reader.line(WITHIN) or memoryview(b"")).split(" ")
-        while (line := reader.line(max(until - now(), NOTHING))) is not None and text(line):
+        while (line := reader.line(max(until - now(), ZERO_DURATION))) is not None and text(line):
             pass
     except (TimeoutError, sockets.OverlongError):
         words = []
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.sockets import Address, LineReader, text
 from vanegw.interface import ListMode, State
@@ -142,7 +142,7 @@
 
 
 def _line(reader: LineReader, until: timedelta) -> memoryview:
-    line = reader.line(max(until - now(), NOTHING))
+    line = reader.line(max(until - now(), ZERO_DURATION))
     if line is None:
         raise EOFError
     return line
@@ -181,7 +181,7 @@
     body = bytearray(size)
     got = reader.take(memoryview(body))
     while got < size:
-        if sockets.wait((sock, sockets.READABLE), within=max(until - now(), NOTHING)) is None:
+        if sockets.wait((sock, sockets.READABLE), within=max(until - now(), ZERO_DURATION)) is None:
             raise TimeoutError("discovery is silent")
         more = sock.recv_into(memoryview(body)[got:])
         if more == 0:
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -9,7 +9,7 @@
 from string import hexdigits
 
 from bramblestile import sockets
-from bramblestile.clock import MICROSECOND, NOTHING, milliseconds, now
+from bramblestile.clock import MICROSECOND, ZERO_DURATION, now, to_milliseconds
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Kind, Message, Standing
@@ -62,7 +62,7 @@
         if self.d_start == self.d_end:
             return [self.line]
         view = memoryview(self.line)
-        return [view[: self.d_start], b"%d" % max(1, milliseconds(wait)), view[self.d_end :]]
+        return [view[: self.d_start], b"%d" % max(1, to_milliseconds(wait)), view[self.d_end :]]
 
 
 def parse_open(line: memoryview) -> tuple[Asked, Head]:
@@ -84,7 +84,7 @@
     wait = _milliseconds(values.get("d", ""))
     if bound_to is not None:
         wait = min(wait, LONGEST_WAIT)  # such a client waits on and on; the run has long begun without it
-    elif not NOTHING < wait <= LONGEST_WAIT:
+    elif not ZERO_DURATION < wait <= LONGEST_WAIT:
         raise MalformedError(f"d: {values['d'][:20]!r}")
     hint = _number(values["h"].encode()) if values.get("h") else None
     if hint is not None and not 0 <= hint < LARGEST_HINT:
@@ -184,7 +184,7 @@
         self._head = head
 
     def refuse(self, come_back: timedelta) -> None:
-        ms = milliseconds(come_back)
+        ms = to_milliseconds(come_back)
         self._reply(b"BUSY %d\r\n" % ms if ms > 0 else b"BUSY\r\n")
 
     def fail(self) -> None:
@@ -202,7 +202,7 @@
             return NotUp(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
         reader = LineReader(upstream, LONGEST)
         try:
-            line = reader.line(max(until - now(), NOTHING), beside=self._sock)
+            line = reader.line(max(until - now(), ZERO_DURATION), beside=self._sock)
         except TimeoutError:
             return NotUp(Status.TIMED_OUT)
         except InterruptedError:
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, milliseconds, now
+from bramblestile.clock import ZERO_DURATION, now, to_milliseconds
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Kind, Message, Standing, ViolationError
@@ -92,7 +92,7 @@
     until = now() + CONNECT_WITHIN
     for _ in range(MOST_PINGS):
         try:
-            line = reader.line(max(until - now(), NOTHING))
+            line = reader.line(max(until - now(), ZERO_DURATION))
         except TimeoutError:
             raise RefusedError(NO_CONNECT) from None
         except sockets.OverlongError:
@@ -153,7 +153,7 @@
     """What a host says before TLS begins: its INFO, and not a byte more. NotDialledError."""
     reader = LineReader(sock, LONGEST * 4)
     try:
-        line = reader.line(max(until - now(), NOTHING))
+        line = reader.line(max(until - now(), ZERO_DURATION))
     except TimeoutError:
         raise sockets.NotDialledError("nats: no INFO in time") from None
     except sockets.OverlongError:
@@ -224,7 +224,7 @@
         self._verbose = verbose
 
     def refuse(self, come_back: timedelta) -> None:
-        ms = milliseconds(come_back)
+        ms = to_milliseconds(come_back)
         self._reply(error(f"{FULL}, come back in {ms} ms" if ms > 0 else FULL))
 
     def fail(self) -> None:
@@ -235,7 +235,7 @@
         sent = False
         while True:
             try:
-                line = reader.line(max(until - now(), NOTHING), beside=self._sock)
+                line = reader.line(max(until - now(), ZERO_DURATION), beside=self._sock)
             except TimeoutError:
                 return NotUp(Status.TIMED_OUT if sent else Status.NO_ROUTE)
             except InterruptedError:
@@ -297,7 +297,7 @@
             try:
                 reader = LineReader(sock, LONGEST * 4)
                 sockets.write(sock, [b'CONNECT {"verbose":false}\r\n', PING])
-                while line := reader.line(max(until - now(), NOTHING)):
+                while line := reader.line(max(until - now(), ZERO_DURATION)):
                     word = bytes(line).partition(b" ")[0].strip().upper()
                     if word in (b"PONG", b"-ERR"):
                         return (Status.SERVED, None) if word == b"PONG" else (error_status(bytes(line)), None)
--- a/bramblestile/wire/peers.py
+++ b/bramblestile/wire/peers.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bramblestile import sockets
-from bramblestile.clock import NOTHING, now
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.memory.counters import Counters
 from bramblestile.sockets import Address, LineReader
 from bramblestile.store.replica import Message
@@ -112,7 +112,7 @@
     until = now() + within
     with sockets.dial(to, DIAL) as sock:
         sockets.write(sock, [line(said)])
-        got = LineReader(sock, LONGEST).line(max(until - now(), NOTHING))
+        got = LineReader(sock, LONGEST).line(max(until - now(), ZERO_DURATION))
         if got is None:
             raise ConnectionResetError("ended without an answer")
         answer = json.loads(bytes(got))
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from bramblestile.clock import MICROSECOND, NOTHING, now
+from bramblestile.clock import MICROSECOND, ZERO_DURATION, now
 from bramblestile.fleet.gossip import Gossip
 from bramblestile.fleet.messages import State
 from bramblestile.log import Log
@@ -123,7 +123,7 @@
     verb: str
     text: str = ""
     answer: tuple[int, str] | None = None
-    deadline: timedelta = NOTHING
+    deadline: timedelta = ZERO_DURATION
     condition: Callable[[PlanState], bool] | None = None
 
 
@@ -222,7 +222,7 @@
 
     def _run_once(self) -> None:
         until = now() + TICK if self.replica is not None else min(now() + IDLE_TICK, self.participant.next_poll_at)
-        while (remaining := until - now()) > NOTHING:
+        while (remaining := until - now()) > ZERO_DURATION:
             try:
                 sender, payload = self._inbox.get(timeout=remaining.total_seconds())
             except queue.Empty:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bramblestile.clock import NOTHING
+from bramblestile.clock import ZERO_DURATION
 from bramblestile.fleet.members import Members, Pace
 from bramblestile.fleet.messages import LARGEST, Fact, Kind, Message, MessageError, State, decoded, encoded
 from bramblestile.fleet.rumours import Rumours
@@ -295,10 +295,10 @@
 
 def gossiped(late: timedelta) -> int:
     """Rounds of gossip in 5 s of one that always has news and runs so late at each step."""
-    members = Members(Fact("me", "127.0.0.1", 1, 1), [], Random(1), NOTHING)
+    members = Members(Fact("me", "127.0.0.1", 1, 1), [], Random(1), ZERO_DURATION)
     for n in range(30):
-        members.hear(Message(Kind.GOSSIP, Fact(f"b{n}", "127.0.0.1", 2 + n, 1)), ("127.0.0.1", 2 + n), NOTHING)
-    at, count = NOTHING, 0
+        members.hear(Message(Kind.GOSSIP, Fact(f"b{n}", "127.0.0.1", 2 + n, 1)), ("127.0.0.1", 2 + n), ZERO_DURATION)
+    at, count = ZERO_DURATION, 0
     while at < 5 * S:
         members.tell("figure", b"1", 60 * S, at)
         at = max(at + MS, members.due() + late)
@@ -311,12 +311,12 @@
 
 
 def test_who_runs_late_passes_news_on_less_often() -> None:
-    assert gossiped(NOTHING) > 2 * gossiped(40 * MS) > 10
+    assert gossiped(ZERO_DURATION) > 2 * gossiped(40 * MS) > 10
 
 
 def test_waits_follow_the_trips_there_and_back() -> None:
     trips = Trips()
-    assert trips.bound == NOTHING
+    assert trips.bound == ZERO_DURATION
     for n in range(50):
         trips.seen(10 * MS, n * S / 5)
     assert 10 * MS <= trips.bound < 20 * MS
