--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -250,7 +250,7 @@
             return
         except MessageError as error:
             self._counters.add("fleet_malformed")
-            self._log.seldom("fleet", peer=f"{source[0]}:{source[1]}", text=str(error))
+            self._log.warning_rate_limited("fleet", peer=f"{source[0]}:{source[1]}", text=str(error))
             return
         self._counters.add("fleet_heard")
         if message.kind == Kind.LOAD and message.me is not None and self.on_load is not None:
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -104,7 +104,7 @@
     if visit is None:
         # Not told as a request: its id is another's, and its story would be mixed up with that one's.
         house.counters.add("ids_in_use")
-        house.log.seldom("id in use", id=asked.id)
+        house.log.warning_rate_limited("id in use", id=asked.id)
         downstream.fail()
         return
     told = _Told(house, request, asked, arrived)
--- a/bramblestile/log.py
+++ b/bramblestile/log.py
@@ -17,11 +17,13 @@
 
 from bramblestile.clock import now
 
-SELDOM = timedelta(seconds=1)  # between two lines of one kind
-MOST_KINDS = 256  # of lines whose last time is remembered; kinds are named in the code, so this is never reached
+RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # between two lines of one kind
+MAX_RATE_LIMITED_EVENTS = (
+    256  # of lines whose last time is remembered; kinds are named in the code, so this is never reached
+)
 LEVELS = ("debug", "info", "warning", "error")
-FORMS = ("auto", "json", "text")
-LONGEST = 2000  # letters of one field: what a peer has sent must not fill the log
+FORMATS = ("auto", "json", "text")
+MAX_FIELD_CHARS = 2000  # letters of one field: what a peer has sent must not fill the log
 _logger = logging.getLogger("bramblestile")
 _logger.propagate = False
 _logger.setLevel(logging.INFO)
@@ -39,7 +41,7 @@
     if value is None or isinstance(value, (bool, int, float)):
         return value
     text = str(value)
-    return text if len(text) <= LONGEST else text[:LONGEST] + "…"
+    return text if len(text) <= MAX_FIELD_CHARS else text[:MAX_FIELD_CHARS] + "…"
 
 
 class _Json(logging.Formatter):
@@ -80,7 +82,7 @@
         return sys.stderr
 
 
-def set_up(level: str = "info", form: str = "auto") -> None:
+def configure(level: str = "info", form: str = "auto") -> None:
     """Once at the start, and again at a reload."""
     handler = _Stderr()
     as_text = sys.stderr.isatty() if form == "auto" else form == "text"
@@ -117,12 +119,12 @@
         """With the traceback of the exception in hand: a fault of ours, never of a peer's."""
         self._say(logging.ERROR, event, fields, exception=True)
 
-    def seldom(self, event: str, **fields: Any) -> None:
+    def warning_rate_limited(self, event: str, **fields: Any) -> None:
         """A warning that a peer can cause at will: one of a kind each second, the rest are only counted."""
         with _lock:
-            last, passed_over = _said.get(event, (-SELDOM, 0))
-            due = now() - last >= SELDOM
-            if event in _said or len(_said) < MOST_KINDS:
+            last, passed_over = _said.get(event, (-RATE_LIMIT_INTERVAL, 0))
+            due = now() - last >= RATE_LIMIT_INTERVAL
+            if event in _said or len(_said) < MAX_RATE_LIMITED_EVENTS:
                 _said[event] = (now(), 0) if due else (last, passed_over + 1)
         if due:
             self._say(logging.WARNING, event, {**fields, **({"more_before": passed_over} if passed_over else {})})
@@ -132,7 +134,7 @@
             return
         said = {k: _plain(v) for k, v in {**self.bound, **fields}.items()}
         if not _logger.handlers:
-            set_up()
+            configure()
         _logger.log(level, event, extra={"fields": said}, exc_info=exception)
         for sink in _sinks:
             sink(
--- a/bramblestile/operations/kept.py
+++ b/bramblestile/operations/kept.py
@@ -128,7 +128,7 @@
         except FileNotFoundError:
             return False
         except (OSError, ValueError) as error:
-            self._log.seldom("orders", file=self._path.name, text=f"served on without: {error}")
+            self._log.warning_rate_limited("orders", file=self._path.name, text=f"served on without: {error}")
             return False
         changed, self.orders = got != self.orders, got
         return changed
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -140,7 +140,7 @@
             try:
                 self._listen()
             except OSError as error:
-                self._log.seldom("management", error=repr(error))
+                self._log.warning_rate_limited("management", error=repr(error))
         for fd, events in self._poll.poll(self._until_next()):
             if self._sock is not None and fd == self._sock.fileno():
                 self._accept()
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -499,7 +499,7 @@
         _store(top.section("store")) if top.has("store") else None,
         _seed(top),
         trace,
-        LogConfig(said.one_of("level", log.LEVELS, "info"), said.one_of("form", log.FORMS, "auto")),
+        LogConfig(said.one_of("level", log.LEVELS, "info"), said.one_of("form", log.FORMATS, "auto")),
         top.address("management") if top.has("management") else None,
         _inherited(environment or {}) if lines else None,
         fleet,
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -357,7 +357,7 @@
             if getattr(config, name) != getattr(self.config, name):
                 self.log.warning("reload", key=name, text="a change needs a restart")
         self._rekey(config.fleet)
-        log.set_up(config.log.level, config.log.form)
+        log.configure(config.log.level, config.log.form)
         old, self.config = self.config, config
         if config.trace != old.trace:
             self._trace(config.trace)
@@ -602,7 +602,7 @@
     except ConfigError as error:
         print(f"bramblestile: {error}", file=sys.stderr, flush=True)
         return 2
-    log.set_up(config.log.level, config.log.form)
+    log.configure(config.log.level, config.log.form)
     threading.stack_size(STACK)
     try:
         daemon = Daemon(config)
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -253,7 +253,7 @@
     def _reject(self, sock: socket.socket, reply: bytes, why: Exception) -> None:
         """What is no request gets a failed answer and a counter: it must not end in a traceback."""
         self.counters.add("bad_first_lines")
-        self.log.seldom("not taken", error=repr(why))
+        self.log.warning_rate_limited("not taken", error=repr(why))
         sockets.last_word(sock, reply)
 
     def _turn_away(self, sock: socket.socket, reply: bytes) -> None:
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -103,7 +103,7 @@
                     return
                 # Out of descriptors, or the downstream left before we came: neither may end the listener.
                 self._counters.add("accept_failed")
-                self._log.seldom("accept failed", error=repr(error))
+                self._log.warning_rate_limited("accept failed", error=repr(error))
                 if self._lobby is not None and error.errno in (errno.EMFILE, errno.ENFILE):
                     self._lobby.send_oldest_away()
                 time.sleep(0.01)
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -201,7 +201,7 @@
     ) -> NotDialledError:
         if isinstance(error, HandshakeError):
             self._counters.add("tls_failed")
-            self._log.seldom("handshake failed", host=host.id, error=str(error))
+            self._log.warning_rate_limited("handshake failed", host=host.id, error=str(error))
             return NotDialledError(f"{error} ({host.id})")
         if isinstance(error, UnverifiedError):
             problem = judging.of_openssl(error.code, error.words, error.chain, name, self._wall())
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -329,7 +329,7 @@
         except Exception as error:
             # Whatever failed, including the encoding of a record, the program continues to serve without its trace.
             self._counters.add("trace_failed")
-            self._log.seldom("trace not written", directory=self.config.directory, error=repr(error))
+            self._log.warning_rate_limited("trace not written", directory=self.config.directory, error=repr(error))
             self._backoff.record_failure(at)
             self._truncate_file()
             self.losses.restore(lost)
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -251,7 +251,7 @@
                 message = messages.decode_message(payload)
         except (ValueError, msgspec.MsgspecError) as error:
             self._counters.add("work_malformed")
-            self._log.seldom("work", peer=sender, text=str(error))
+            self._log.warning_rate_limited("work", peer=sender, text=str(error))
             return
         current_time = now()
         if isinstance(message, Reply):
@@ -333,7 +333,7 @@
             os.rename(temporary, self._state_path)
             self._saved = saved
         except OSError as error:
-            self._log.seldom("work", text=f"cannot save the state for the next process: {error}")
+            self._log.warning_rate_limited("work", text=f"cannot save the state for the next process: {error}")
 
     def _restore(self) -> None:
         if self._state_path is None or not self._state_path.exists():
