--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -72,13 +72,13 @@
                 self.cpu = time.thread_time()
 
     def close(self) -> None:
-        sockets.wake(self.listener)
+        sockets.shut_down(self.listener)
         self.listener.close()
         for sock in self.held:
             sock.close()
 
 
-def one(dialer: Dialer | None, to: Side | UpstreamHost) -> sockets.Side:
+def one(dialer: Dialer | None, to: Side | UpstreamHost) -> sockets.Transport:
     """A connection up to the host's first line."""
     host = to.host if isinstance(to, Side) else to
     sock = sockets.dial(host.address, WITHIN) if dialer is None else dialer.dial(host, WITHIN, now() + WITHIN)
@@ -130,7 +130,7 @@
 
 
 @contextmanager
-def joined(ca: Authority, secured: bool, serve: Callable[[socket.socket], None]) -> Iterator[sockets.Side]:
+def joined(ca: Authority, secured: bool, serve: Callable[[socket.socket], None]) -> Iterator[sockets.Transport]:
     side = Side(ca.issue("h0.test").server() if secured else None, serve)
     sock = one(Dialer(Plan(Files(ca.file), rates=FREE), Counters()) if secured else None, side)
     yield sock
--- a/bramblestile/dialect.py
+++ b/bramblestile/dialect.py
@@ -10,7 +10,7 @@
 
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Standing
-from bramblestile.sockets import Side
+from bramblestile.sockets import Transport
 from vanegw.interface import Status
 
 
@@ -53,7 +53,7 @@
 class Downstream(Protocol):
     """The client's side of one request, and how to make its upstream requests."""
 
-    def has_left(self) -> bool: ...
+    def has_disconnected(self) -> bool: ...
 
     def refuse(self, come_back: timedelta) -> None:
         """Local reply: refused, trying again is harmless."""
@@ -68,13 +68,13 @@
 class Dial(Protocol):
     """A connection to the upstream host that was chosen: its socket, or a channel over it."""
 
-    def __call__(self, connect_within: timedelta, until: timedelta) -> Side:
+    def __call__(self, connect_within: timedelta, until: timedelta) -> Transport:
         """``connect_within`` bounds the connection, ``until`` all that comes before the first byte. OSError; one that
-        is a NotDialledError tells more."""
+        is a DialError tells more."""
 
 
 # How a front dials its upstream hosts: the host, and the two bounds of a Dial.
-Upstream = Callable[[UpstreamHost, timedelta, timedelta], Side]
+Upstream = Callable[[UpstreamHost, timedelta, timedelta], Transport]
 
 
 class CanSend(Protocol):
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -116,7 +116,7 @@
         number = 0
         while True:
             choice = visit.next()
-            if downstream.has_left():
+            if downstream.has_disconnected():
                 told.answer(now(), "left", number)
                 house.decisions.tell(api.ClientGone(asked.id))
                 return
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -89,7 +89,7 @@
             self._set = True
             os.close(self._write)
 
-    def beside(self, side: sockets.Side) -> select.poll:
+    def beside(self, side: sockets.Transport) -> select.poll:
         poll = select.poll()
         poll.register(side, select.POLLIN)
         poll.register(self._read, select.POLLIN)
@@ -106,7 +106,7 @@
     id: str
     host: str
     downstream: socket.socket
-    upstream: sockets.Side
+    upstream: sockets.Transport
     farewell: bytes  # what tells the downstream to move
     from_upstream: Framer
     from_downstream: Framer
@@ -200,10 +200,10 @@
         self.over.set()
         # The host's end is passed on at once; shutting both wakes the other thread.
         if not self.reset_up:
-            sockets.wake(self.downstream)
+            sockets.shut_down(self.downstream)
         else:
-            sockets.wake(self.downstream, socket.SHUT_RD)
-        sockets.wake(self.upstream, socket.SHUT_RD if self.reset_down else socket.SHUT_RDWR)
+            sockets.shut_down(self.downstream, socket.SHUT_RD)
+        sockets.shut_down(self.upstream, socket.SHUT_RD if self.reset_down else socket.SHUT_RDWR)
         back.join()
         sockets.close(self.downstream, reset=self.reset_up and not (self.moved or self.refused))
         sockets.close(self.upstream, reset=self.reset_down)
@@ -325,12 +325,12 @@
         if self.over.is_set() or self.moved:
             return
         if self.reset_down:
-            sockets.wake(self.upstream, socket.SHUT_RD)
+            sockets.shut_down(self.upstream, socket.SHUT_RD)
             return
         self.left = True
-        sockets.wake(self.upstream, socket.SHUT_WR)
+        sockets.shut_down(self.upstream, socket.SHUT_WR)
         if not self.over.wait(LAST_WORD.total_seconds()):
-            sockets.wake(self.upstream)
+            sockets.shut_down(self.upstream)
 
     def move(self, within: timedelta = MOVE_BOUND) -> bool:
         """Tells the downstream to move, between two messages, and ends both sides. False if it is over. A message that
@@ -366,8 +366,8 @@
             sockets.write(self.downstream, [words])
         except OSError:
             self.reset_down = True
-        sockets.wake(self.upstream)
-        sockets.wake(self.downstream)
+        sockets.shut_down(self.upstream)
+        sockets.shut_down(self.downstream)
 
     def mute_for(self) -> timedelta:
         """For how long a message has gone unanswered."""
--- a/bramblestile/memory/lobby.py
+++ b/bramblestile/memory/lobby.py
@@ -44,7 +44,7 @@
 
     def _send_away(self, sock: socket.socket) -> None:
         self._sent_away.add(sock)
-        sockets.wake(sock, socket.SHUT_RD)
+        sockets.shut_down(sock, socket.SHUT_RD)
 
     def enter(self, sock: socket.socket) -> None:
         with self._changed:
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -255,7 +255,7 @@
             return
         self._poll.modify(caller.sock, select.POLLIN)
         if caller.answered is not None:
-            sockets.wake(caller.sock, socket.SHUT_WR)
+            sockets.shut_down(caller.sock, socket.SHUT_WR)
 
     def _end(self, caller: _Caller) -> None:
         if self._callers.pop(caller.sock.fileno(), None) is not None:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -265,7 +265,7 @@
         assert self.lines is not None and self.lines.listener is not None
         standing, request = unpacked(message, downstream, upstream)
         for side in (downstream, upstream):
-            sockets.tune(side)
+            sockets.set_options(side)
         return adopt(self.lines.house, standing, request, self.lines.listener.run)
 
     def _take_from_inherited(self) -> None:
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -21,7 +21,7 @@
 from bramblestile.memory.lobby import Lobby
 from bramblestile.process.config import ConfigError, FrontConfig, NatsConfig, TlsConfig
 from bramblestile.process.listeners import Listener
-from bramblestile.sockets import Address, Side
+from bramblestile.sockets import Address, Transport
 from bramblestile.tracing import Tracing
 from bramblestile.wire import lines, nats
 from bramblestile.wire.agent import Opinion
@@ -131,9 +131,9 @@
             trust=trust,
         )
 
-    before_tls: Callable[[Side, timedelta], bytes] | None = None  # what the protocol says before TLS begins
+    before_tls: Callable[[Transport, timedelta], bytes] | None = None  # what the protocol says before TLS begins
 
-    def _dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
+    def _dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
         """Whatever the configuration of the moment says: a reload may begin or end TLS."""
         if self.tls is None:
             return plain(host, connect_within, until)
@@ -254,12 +254,12 @@
         """What is no request gets a failed answer and a counter: it must not end in a traceback."""
         self.counters.add("bad_first_lines")
         self.log.warning_rate_limited("not taken", error=repr(why))
-        sockets.last_word(sock, reply)
+        sockets.reply_and_close(sock, reply)
 
     def _turn_away(self, sock: socket.socket, reply: bytes) -> None:
         """It has not said what it wants and others need its place, or it takes too long over it."""
         self.counters.add("silent_downstreams")
-        sockets.last_word(sock, reply)
+        sockets.reply_and_close(sock, reply)
 
     def _admits(self, sock: socket.socket) -> bool:
         """The first words are whole: it is a request from now on, unless its place was just given away."""
@@ -326,7 +326,7 @@
                     if self.lobby.has_sent_away(sock):
                         self._turn_away(sock, lines.FULL)
                     return
-                if sockets.text(line) != "PING":
+                if sockets.decode_line(line) != "PING":
                     break
                 sockets.write(sock, [lines.FULL if self.away else lines.PONG])
             else:
@@ -335,7 +335,7 @@
         except TimeoutError:
             self._turn_away(sock, lines.FAILED)
             return
-        except (sockets.OverlongError, lines.MalformedError) as error:
+        except (sockets.LineTooLongError, lines.MalformedError) as error:
             self._reject(sock, lines.FAILED, error)
             return
         if not self._admits(sock):
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -141,7 +141,7 @@
 
     def _live(self, sock: socket.socket) -> None:
         try:
-            sockets.tune(sock)
+            sockets.set_options(sock)
             self._serve(sock)
         except OSError:
             self._counters.add("downstream_broke")
@@ -157,7 +157,7 @@
         """Nothing more is taken; what was taken goes on. An inherited socket listens on for whoever else has it."""
         self._stopped = True
         if self._wake is None:
-            sockets.wake(self._sock)
+            sockets.shut_down(self._sock)
             self._sock.close()
             return
         os.write(self._wake[1], b"x")
--- a/bramblestile/tls/channel.py
+++ b/bramblestile/tls/channel.py
@@ -34,11 +34,11 @@
 Judge = Callable[[Sequence[Facts]], None]  # raises what ends the handshake
 
 
-class HandshakeError(sockets.NotDialledError):
+class HandshakeError(sockets.DialError):
     """No handshake: ``text`` tells what the host did. Nothing ran there."""
 
 
-class UnverifiedError(sockets.NotDialledError):
+class UnverifiedError(sockets.DialError):
     """OpenSSL refuses the host's certificate: its number, its words, and the chain that was shown."""
 
     def __init__(self, code: int, words: str, chain: Sequence[Facts]) -> None:
@@ -73,12 +73,12 @@
 
     def handshake(self, until: timedelta, judge: Judge) -> None:
         """Returns once the host has proved itself to OpenSSL and to ``judge``. Our last flight, and with TLS 1.3 our
-        own certificate, leaves only then. NotDialledError, TimeoutError, or what the judge raises."""
+        own certificate, leaves only then. DialError, TimeoutError, or what the judge raises."""
         fed = 0
         while not self._step(judge):
             self._put_out(self._out.read())
             left = until - now()
-            if left <= ZERO_DURATION or sockets.wait((self._sock, sockets.READABLE), within=left) is None:
+            if left <= ZERO_DURATION or sockets.wait((self._sock, sockets.READABLE), timeout=left) is None:
                 raise HandshakeError(
                     "tls: no end of the handshake in time" if fed else "tls: no answer to the ClientHello"
                 )
@@ -156,7 +156,7 @@
     def fileno(self) -> int:
         return self._sock.fileno()
 
-    def holds(self) -> bool:
+    def has_buffered_data(self) -> bool:
         return bool(self._ahead) or not self._dry
 
     def setblocking(self, flag: bool) -> None:
@@ -295,7 +295,7 @@
                     return
                 self._ahead += more
 
-    def end(self, reset: bool, linger: timedelta) -> None:
+    def terminate(self, reset: bool, linger: timedelta) -> None:
         self._ended = True
         if not reset:
             self._say_end()
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -1,6 +1,6 @@
 """Channels to upstream hosts: budget, dial, ticket, handshake, judgement, in this order, with all that is counted.
 
-Every failure in here is one of a request that never ran: no byte of it has been sent. ``NotDialledError.spared`` tells
+Every failure in here is one of a request that never ran: no byte of it has been sent. ``DialError.skipped`` tells
 a host that was not even asked from one that has failed.
 """
 
@@ -17,7 +17,7 @@
 from bramblestile.log import Log
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.counters import Counters
-from bramblestile.sockets import NotDialledError, Side
+from bramblestile.sockets import DialError, Transport
 from bramblestile.tls import judging
 from bramblestile.tls.budget import Budget, Rates
 from bramblestile.tls.channel import HandshakeError, TlsChannel, UnverifiedError
@@ -33,7 +33,7 @@
 RESUME_LEAST = timedelta(seconds=5)  # a ticket with less to live is not worth its place
 
 
-class RefusedError(NotDialledError):
+class RefusedError(DialError):
     """The host's certificate is refused."""
 
     def __init__(self, host: str, problem: Problem) -> None:
@@ -81,7 +81,7 @@
         warmth: Callable[[UpstreamHost], float] = lambda host: 1.0,
         find: Callable[[str], UpstreamHost | None] = lambda name: None,
         on_close: Callable[[str, bool], None] = lambda name, closed: None,
-        before: Callable[[Side, timedelta], bytes] | None = None,
+        before: Callable[[Transport, timedelta], bytes] | None = None,
         wall: Callable[[], datetime] = lambda: datetime.now(UTC),
         trust: Trust | None = None,
         clock: Callable[[], timedelta] = now,
@@ -105,7 +105,7 @@
 
     # On the way of a request.
 
-    def dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
+    def dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
         """A channel to a host that has proved itself. OSError."""
         trust, name, key = self._sought(host)
         with self._lock:
@@ -143,7 +143,7 @@
                 self._tickets.put(key, ticket.session, ticket.chain, at, ticket.until - at)
         if wait is None:
             self._counters.add("tls_spared")
-            raise NotDialledError(f"tls: {host.id}: no room for another handshake", spared=True)
+            raise DialError(f"tls: {host.id}: no room for another handshake", skipped=True)
         if wait > ZERO_DURATION:
             self._counters.add("tls_waited")
             time.sleep(wait.total_seconds())
@@ -198,11 +198,11 @@
 
     def _failed(
         self, host: UpstreamHost, name: Name, error: HandshakeError | UnverifiedError | _JudgedError
-    ) -> NotDialledError:
+    ) -> DialError:
         if isinstance(error, HandshakeError):
             self._counters.add("tls_failed")
             self._log.warning_rate_limited("handshake failed", host=host.id, error=str(error))
-            return NotDialledError(f"{error} ({host.id})")
+            return DialError(f"{error} ({host.id})")
         if isinstance(error, UnverifiedError):
             problem = judging.of_openssl(error.code, error.words, error.chain, name, self._wall())
         else:
@@ -270,7 +270,7 @@
             raise HandshakeError(f"tls: {host.id}: {error}") from None
 
     def look(self, host: UpstreamHost, within: timedelta = LOOK_WITHIN) -> Seen:
-        """A handshake and nothing more, by no budget. NotDialledError or OSError."""
+        """A handshake and nothing more, by no budget. DialError or OSError."""
         trust, name, key = self._sought(host)
         until = now() + within
         with self._lock:
@@ -375,7 +375,7 @@
             self._log.warning("certificate expires", text=line)
 
 
-class _JudgedError(NotDialledError):
+class _JudgedError(DialError):
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.text)
         self.problem = problem
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -14,7 +14,7 @@
 
 from bramblestile import sockets
 from bramblestile.clock import ZERO_DURATION, now
-from bramblestile.sockets import Address, LineReader, text
+from bramblestile.sockets import Address, LineReader, decode_line
 
 LONGEST = 4096
 WITHIN = timedelta(seconds=2)  # for the other side's request
@@ -70,9 +70,9 @@
                     sock, [b"GET ", check.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\nConnection: close\r\n\r\n"]
                 )
             line = reader.line(max(until - now(), ZERO_DURATION))
-        except sockets.OverlongError:
+        except sockets.LineTooLongError:
             raise ConnectionError("an over-long answer") from None
-        said = text(line) if line is not None else reader.rest().decode("ascii", "replace")
+        said = decode_line(line) if line is not None else reader.take_buffered().decode("ascii", "replace")
         if check.path is None:
             return parse_agent(said)
         words = said.split()
@@ -108,10 +108,10 @@
     reader = LineReader(sock, LONGEST)
     until = now() + WITHIN
     try:
-        words = text(reader.line(WITHIN) or memoryview(b"")).split(" ")
-        while (line := reader.line(max(until - now(), ZERO_DURATION))) is not None and text(line):
+        words = decode_line(reader.line(WITHIN) or memoryview(b"")).split(" ")
+        while (line := reader.line(max(until - now(), ZERO_DURATION))) is not None and decode_line(line):
             pass
-    except (TimeoutError, sockets.OverlongError):
+    except (TimeoutError, sockets.LineTooLongError):
         words = []
     state = health()
     if len(words) != 3 or not words[2].startswith("HTTP/1."):
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -10,7 +10,7 @@
 from bramblestile.clock import now
 from bramblestile.dialect import Answer, Asked, CanSend, Dial, NotUp, Up
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.sockets import LineReader, Side
+from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
 MOST_PINGS = 16  # before a request: a front asks once, and who asks on and on wants nothing else
@@ -24,8 +24,8 @@
         self._reader = reader  # holds what the downstream sent beyond its first words
         self._asked = asked
 
-    def has_left(self) -> bool:
-        return sockets.has_left(self._sock)
+    def has_disconnected(self) -> bool:
+        return sockets.has_disconnected(self._sock)
 
     @abstractmethod
     def refuse(self, come_back: timedelta) -> None: ...
@@ -34,17 +34,17 @@
     def fail(self) -> None: ...
 
     @abstractmethod
-    def _ask(self, upstream: Side, until: timedelta, may_send: CanSend) -> Answer: ...
+    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer: ...
 
     def _reply(self, line: bytes) -> None:
-        sockets.last_word(self._sock, line)
+        sockets.reply_and_close(self._sock, line)
 
     def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
         """Dials and asks; the connection is closed unless the answer keeps it."""
         try:
             upstream = dial(min(connect_within, until - now()), until)
-        except sockets.NotDialledError as error:
-            return NotUp(Status.NOT_SENT if error.spared else Status.NO_ROUTE, detail=str(error))
+        except sockets.DialError as error:
+            return NotUp(Status.NOT_SENT if error.skipped else Status.NO_ROUTE, detail=str(error))
         except OSError:
             return NotUp(Status.NO_ROUTE)
         answer: Answer | None = None
@@ -58,6 +58,6 @@
                 upstream.setblocking(True)
 
 
-def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
+def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
     """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
     return sockets.dial(host.address, connect_within)
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -13,7 +13,7 @@
 from bramblestile import sockets
 from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.sockets import Address, LineReader, text
+from bramblestile.sockets import Address, LineReader, decode_line
 from vanegw.interface import ListMode, State
 
 STATES = {"in_service": State.RUNNING, "terminating": State.DRAINING, "terminated": State.GONE}
@@ -87,7 +87,7 @@
             self.close()
             if not kept:
                 raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.OverlongError):
+        except (OSError, BadAnswerError, sockets.LineTooLongError):
             self.close()
             raise
         try:  # the kept connection had gone stale: once more on a new one
@@ -95,7 +95,7 @@
         except EOFError:
             self.close()
             raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.OverlongError):
+        except (OSError, BadAnswerError, sockets.LineTooLongError):
             self.close()
             raise
 
@@ -113,13 +113,13 @@
         if chunked:
             parts = []
             left = LARGEST  # for all chunks together
-            while size := _chunk_size(text(_line(reader, until))):
+            while size := _chunk_size(decode_line(_line(reader, until))):
                 left -= size
                 if left < 0:
                     raise BadAnswerError(f"more than {LARGEST} bytes in one answer")
                 parts.append(_exactly(self._sock, reader, size, until))
                 _line(reader, until)
-            while text(_line(reader, until)):
+            while decode_line(_line(reader, until)):
                 pass
             body = b"".join(parts)
         else:
@@ -128,12 +128,12 @@
             self.close()
         return status, body
 
-    def wake(self) -> None:
+    def shut_down(self) -> None:
         """Ends the call that waits; none follows, not even the second try on a new connection."""
         self._ended = True
         sock = self._sock
         if sock is not None:
-            sockets.wake(sock)
+            sockets.shut_down(sock)
 
     def close(self) -> None:
         if self._sock is not None:
@@ -150,11 +150,11 @@
 
 def _read_head(reader: LineReader, until: timedelta) -> tuple[int, int, bool, bool]:
     """Status, length, whether the connection stays, whether the body comes in chunks."""
-    words = text(_line(reader, until)).split(" ")
+    words = decode_line(_line(reader, until)).split(" ")
     if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
         raise BadAnswerError(f"not HTTP/1.1: {words[:2]}")
     length, keep, chunked = 0, words[0] == "HTTP/1.1", False
-    while line := text(_line(reader, until)):
+    while line := decode_line(_line(reader, until)):
         name, _, value = line.partition(":")
         name, value = name.strip().lower(), value.strip().lower()
         if name == "content-length":
@@ -179,9 +179,9 @@
     if size > LARGEST:
         raise BadAnswerError(f"{size} bytes in one answer")
     body = bytearray(size)
-    got = reader.take(memoryview(body))
+    got = reader.read_buffered(memoryview(body))
     while got < size:
-        if sockets.wait((sock, sockets.READABLE), within=max(until - now(), ZERO_DURATION)) is None:
+        if sockets.wait((sock, sockets.READABLE), timeout=max(until - now(), ZERO_DURATION)) is None:
             raise TimeoutError("discovery is silent")
         more = sock.recv_into(memoryview(body)[got:])
         if more == 0:
@@ -222,7 +222,7 @@
         and the new one is asked at once: what it has to tell may count as told any moment."""
         old, self._caller = self._caller, HttpCaller(discovery)
         self._wanted.set()
-        old.wake()
+        old.shut_down()
 
     def _run(self) -> None:
         while True:
@@ -237,7 +237,7 @@
             try:
                 while caller is self._caller:
                     self.once(caller)
-            except (OSError, BadAnswerError, sockets.OverlongError) as error:
+            except (OSError, BadAnswerError, sockets.LineTooLongError) as error:
                 if caller is self._caller:
                     self._log(f"discovery: {error!r}")
                     self._tell(ListMode.UNAVAILABLE, ())
@@ -246,7 +246,7 @@
         """No further call is made; one that waits is ended."""
         self._stopped.set()
         self._wanted.set()
-        self._caller.wake()
+        self._caller.shut_down()
 
     def once(self, caller: HttpCaller) -> None:
         path = "/v1/servers"
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -13,7 +13,7 @@
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Kind, Message, Standing
-from bramblestile.sockets import LineReader, Side, text
+from bramblestile.sockets import LineReader, Transport, decode_line
 from bramblestile.wire.common import SocketDownstream, plain
 from vanegw.interface import Report, Status
 
@@ -190,7 +190,7 @@
     def fail(self) -> None:
         self._reply(FAILED)
 
-    def _ask(self, upstream: Side, until: timedelta, may_send: CanSend) -> Answer:
+    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer:
         # A bound connection's line goes as it came: the host knows it by what it was.
         bound = self._asked.bound_to is not None
         try:
@@ -202,23 +202,32 @@
             return NotUp(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
         reader = LineReader(upstream, LONGEST)
         try:
-            line = reader.line(max(until - now(), ZERO_DURATION), beside=self._sock)
+            line = reader.line(max(until - now(), ZERO_DURATION), abort_on=self._sock)
         except TimeoutError:
             return NotUp(Status.TIMED_OUT)
         except InterruptedError:
             return NotUp(Status.CANCELLED, downstream_left=True)
-        except (OSError, sockets.OverlongError):
+        except (OSError, sockets.LineTooLongError):
             return NotUp(Status.CUT)
         if line is None:
             return NotUp(Status.CUT)
-        word = text(line).partition(" ")[0]
+        word = decode_line(line).partition(" ")[0]
         if word != "UP":
             return NotUp(OUTCOMES.get(word, Status.ERROR), host_drains=word == "MOVE")
-        return Up(standing(self._asked.id, "", self._sock, upstream, self._reader.rest(), bytes(line) + reader.rest()))
+        return Up(
+            standing(
+                self._asked.id,
+                "",
+                self._sock,
+                upstream,
+                self._reader.take_buffered(),
+                bytes(line) + reader.take_buffered(),
+            )
+        )
 
 
 def standing(
-    name: str, host: str, downstream: socket.socket, upstream: Side, first_up: bytes, first_down: bytes
+    name: str, host: str, downstream: socket.socket, upstream: Transport, first_up: bytes, first_down: bytes
 ) -> Standing:
     """A connection of this protocol that is up. The framers keep nothing between two reads."""
     return Standing(
@@ -239,7 +248,7 @@
 
     def __init__(self, dial: Upstream = plain) -> None:
         self._dial = dial
-        self._sock: Side | None = None
+        self._sock: Transport | None = None
         self._reader: LineReader | None = None
 
     def ask(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
@@ -259,7 +268,7 @@
             sockets.write(self._sock, [b"STATS\r\n"])
         except OSError as error:
             self.close()
-            if isinstance(error, sockets.NotDialledError) and error.spared:
+            if isinstance(error, sockets.DialError) and error.skipped:
                 return Status.NOT_SENT, None
             return Status.NO_ROUTE, None
         assert self._reader is not None
@@ -268,12 +277,12 @@
         except TimeoutError:
             self.close()  # a late answer must not be taken for the next one's
             return Status.TIMED_OUT, None
-        except (OSError, sockets.OverlongError):
+        except (OSError, sockets.LineTooLongError):
             line = None
         if line is None:
             self.close()
             return Status.CUT, None
-        word, _, rest = text(line).partition(" ")
+        word, _, rest = decode_line(line).partition(" ")
         return (Status.SERVED, parse_report(rest)) if word == "PONG" else (Status.ERROR, None)
 
     def close(self) -> None:
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -20,7 +20,7 @@
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Kind, Message, Standing, ViolationError
-from bramblestile.sockets import Address, LineReader, Side, text
+from bramblestile.sockets import Address, LineReader, Transport, decode_line
 from bramblestile.wire.common import MOST_PINGS, SocketDownstream, plain
 from vanegw.interface import Report, Status
 
@@ -47,7 +47,7 @@
     """What the client said before it was taken is answered with this reply."""
 
     def __init__(self, reply: bytes) -> None:
-        super().__init__(text(memoryview(reply)))
+        super().__init__(decode_line(memoryview(reply)))
         self.reply = reply
 
 
@@ -95,7 +95,7 @@
             line = reader.line(max(until - now(), ZERO_DURATION))
         except TimeoutError:
             raise RefusedError(NO_CONNECT) from None
-        except sockets.OverlongError:
+        except sockets.LineTooLongError:
             raise RefusedError(LINE_LIMIT) from None
         if line is None:
             return None
@@ -145,25 +145,25 @@
             return line is not None and bytes(line[:4]).upper() == b"INFO" and not is_ldm(bytes(line))
         finally:
             sockets.close(sock)
-    except (OSError, sockets.OverlongError):
+    except (OSError, sockets.LineTooLongError):
         return False
 
 
-def read_info(sock: Side, until: timedelta) -> bytes:
-    """What a host says before TLS begins: its INFO, and not a byte more. NotDialledError."""
+def read_info(sock: Transport, until: timedelta) -> bytes:
+    """What a host says before TLS begins: its INFO, and not a byte more. DialError."""
     reader = LineReader(sock, LONGEST * 4)
     try:
         line = reader.line(max(until - now(), ZERO_DURATION))
     except TimeoutError:
-        raise sockets.NotDialledError("nats: no INFO in time") from None
-    except sockets.OverlongError:
-        raise sockets.NotDialledError("nats: an over-long INFO") from None
+        raise sockets.DialError("nats: no INFO in time") from None
+    except sockets.LineTooLongError:
+        raise sockets.DialError("nats: an over-long INFO") from None
     if line is None or bytes(line[:4]).upper() != b"INFO":
-        raise sockets.NotDialledError("nats: the host did not begin with INFO")
+        raise sockets.DialError("nats: the host did not begin with INFO")
     said = bytes(line)
-    if reader.rest():
+    if reader.take_buffered():
         # Whoever stands between could put words in the host's mouth that seem to have come over TLS.
-        raise sockets.NotDialledError("nats: the host says more than INFO before TLS")
+        raise sockets.DialError("nats: the host says more than INFO before TLS")
     return said
 
 
@@ -230,17 +230,17 @@
     def fail(self) -> None:
         self._reply(FAILED)
 
-    def _ask(self, upstream: Side, until: timedelta, may_send: CanSend) -> Answer:
+    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer:
         reader = LineReader(upstream, LONGEST * 4)  # an INFO may be longer than a client's lines
         sent = False
         while True:
             try:
-                line = reader.line(max(until - now(), ZERO_DURATION), beside=self._sock)
+                line = reader.line(max(until - now(), ZERO_DURATION), abort_on=self._sock)
             except TimeoutError:
                 return NotUp(Status.TIMED_OUT if sent else Status.NO_ROUTE)
             except InterruptedError:
                 return NotUp(Status.CANCELLED, downstream_left=True)
-            except (OSError, sockets.OverlongError):
+            except (OSError, sockets.LineTooLongError):
                 line = None
             if line is None:
                 return NotUp(Status.CUT if sent else Status.NO_ROUTE)
@@ -267,7 +267,7 @@
             elif word != b"+OK":
                 return NotUp(Status.ERROR)
 
-    def _standing(self, upstream: Side, reader: LineReader) -> Standing:
+    def _standing(self, upstream: Transport, reader: LineReader) -> Standing:
         greeting = self._greeting
         return Standing(
             self._asked.id,
@@ -277,8 +277,8 @@
             greeting.info(ldm=True),
             NatsFramer({b"PONG": Kind.ANSWER}),
             NatsFramer({b"PING": Kind.ASK}, greeting.max_payload),
-            first_up=self._reader.rest(),
-            first_down=(OK if self._verbose else b"") + reader.rest(),
+            first_up=self._reader.take_buffered(),
+            first_down=(OK if self._verbose else b"") + reader.take_buffered(),
             started=True,
             says_last=False,
         )
@@ -304,11 +304,11 @@
                 return Status.CUT, None
             finally:
                 sockets.close(sock)
-        except sockets.NotDialledError as error:
-            return (Status.NOT_SENT if error.spared else Status.NO_ROUTE), None
+        except sockets.DialError as error:
+            return (Status.NOT_SENT if error.skipped else Status.NO_ROUTE), None
         except TimeoutError:
             return Status.TIMED_OUT, None
-        except (OSError, sockets.OverlongError):
+        except (OSError, sockets.LineTooLongError):
             return Status.NO_ROUTE, None
 
     def close(self) -> None:
--- a/bramblestile/wire/peers.py
+++ b/bramblestile/wire/peers.py
@@ -57,7 +57,7 @@
             except Empty:
                 continue
             try:
-                if sock is not None and sockets.has_left(sock):
+                if sock is not None and sockets.has_disconnected(sock):
                     sock.close()
                     sock = None
                 sock = sock or sockets.dial(self._addresses[name], DIAL)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -64,7 +64,7 @@
                     self._play(sock)
 
     def close(self) -> None:
-        sockets.wake(self._listener)
+        sockets.shut_down(self._listener)
         self._listener.close()
 
 
@@ -118,15 +118,15 @@
     return Dialer(Plan(files, **plan), more.pop("counters", Counters()), wall=clock.wall, clock=clock.steady, **more)
 
 
-def dial(made: Dialer, to: Host, within: float = 2.0) -> sockets.Side:
+def dial(made: Dialer, to: Host, within: float = 2.0) -> sockets.Transport:
     return made.dial(to.entry, SECOND, now() + timedelta(seconds=within))
 
 
-def read(sock: sockets.Side) -> bytes:
+def read(sock: sockets.Transport) -> bytes:
     """The first data. A new channel does not wait."""
     buffer = bytearray(4096)
     while True:
-        assert sockets.wait((sock, sockets.READABLE), within=3 * SECOND) is not None
+        assert sockets.wait((sock, sockets.READABLE), timeout=3 * SECOND) is not None
         with contextlib.suppress(BlockingIOError):
             return bytes(buffer[: sock.recv_into(buffer)])
 
@@ -188,7 +188,7 @@
     made = dialer(counters=counters, on_close=lambda name, shut: closed.append((name, shut)))
     with pytest.raises(RefusedError, match="^tls: b0: .*" + words) as caught:
         dial(made, to)
-    assert caught.value.problem.kind is kind and not caught.value.spared
+    assert caught.value.problem.kind is kind and not caught.value.skipped
     assert counters.get(f"tls_refused_{kind.value}") == 1 and closed == [("b0", True)]
     with pytest.raises(RefusedError):  # and is not even asked again until it is looked at
         dial(made, to)
@@ -406,7 +406,7 @@
     counters, closed = Counters(), list[Any]()
     made = dialer(counters=counters, handshake=timedelta(milliseconds=200), on_close=lambda *what: closed.append(what))
     began = now()
-    with pytest.raises(sockets.NotDialledError, match=words):
+    with pytest.raises(sockets.DialError, match=words):
         dial(made, host(play))
     assert now() - began < 2 * SECOND and counters.get("tls_failed") == 1
     assert not closed  # it has proved nothing of its certificate
@@ -415,7 +415,7 @@
 def test_a_chain_of_too_many_certificates_is_refused(host: Any) -> None:
     issued = ca().issue("b0.test")
     issued.cert_file.write_bytes(issued.cert_file.read_bytes() + OTHER.file.read_bytes() * 12)
-    with pytest.raises(sockets.NotDialledError, match="a chain of 13 certificates, over 10"):
+    with pytest.raises(sockets.DialError, match="a chain of 13 certificates, over 10"):
         dial(dialer(), host(greets(issued.server())))
 
 
