--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -22,7 +22,7 @@
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions
 from bramblestile.trace.recorder import Recorder, RecorderConfig
-from bramblestile.tracing import Tracer, Tracing
+from bramblestile.tracing import Tracer, TracerHandle
 from tests.load import SETTINGS, Hosts, Program, load, running
 from vanegw import interface as api
 from vanegw import wire as settings_form
@@ -58,7 +58,7 @@
     """
     settings = settings_form.parse_settings(SETTINGS)[0]
     with tempfile.TemporaryDirectory() as folder:
-        tracing, counters = Tracing(), Counters()
+        tracing, counters = TracerHandle(), Counters()
         recorder = Recorder(RecorderConfig(Path(folder), "n1", "-"), counters)
         decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
         pending_probes: list[str] = []
@@ -68,11 +68,11 @@
         number = 0
         for round_number in range(rounds * 2):
             traced = round_number % 2 == round_number // 2 % 2
-            tracing.to = recorder if traced else Tracer()
+            tracing.current = recorder if traced else Tracer()
             started = time.thread_time()
             for _ in range(batch):
                 number += 1
-                _serve_request(decisions, tracing.to, pending_probes, f"{number:016x}")
+                _serve_request(decisions, tracing.current, pending_probes, f"{number:016x}")
             if traced:
                 recorder.flush()
             cost_us[traced].append((time.thread_time() - started) / batch * 1e6)
@@ -95,7 +95,7 @@
     at = now()
     tracer.attempt(at, request_id, 0, choice.backend, "up", 900)
     tracer.answer(at, request, "served", 1, timedelta(milliseconds=2), choice.backend)
-    tracer.stand(at, request_id, choice.backend, False)
+    tracer.established(at, request_id, choice.backend, False)
     decisions.tell(api.Opened(request_id, 0, choice.backend, 900))
     tracer.ended(at, request_id, choice.backend, "served", timedelta(seconds=2), False)
     decisions.tell(api.Outcome(request_id, 0, choice.backend, api.Status.SERVED, 900, finished=True))
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -16,7 +16,7 @@
 from bramblestile.memory.connections import Connections, Halt, Observer, Standing
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions, Visit, micros, span
-from bramblestile.tracing import Tracing
+from bramblestile.tracing import TracerHandle
 from vanegw import interface as api
 from vanegw.interface import Status
 
@@ -44,7 +44,7 @@
         connect_within: timedelta,
         drains: Callable[[str], None],
         dial: Upstream,
-        tracing: Tracing | None = None,
+        tracing: TracerHandle | None = None,
         name: str = "",
     ) -> None:
         self.heir: Heir | None = None  # who goes on with what stands when this process ends; None: nobody
@@ -56,7 +56,7 @@
         self.connect_within = connect_within
         self.drains = drains  # an upstream host has said itself that it drains
         self.dial = dial
-        self.tracing = tracing or Tracing()
+        self.tracing = tracing or TracerHandle()
         self.name = name
         self.log = Log(front=name)
 
@@ -69,7 +69,7 @@
         self.request = request
         self.log = house.log.bind(id=asked.id)
         self.arrived = arrived
-        house.tracing.to.request(self.arrived, house.name, request, asked.bound_to)
+        house.tracing.current.request(self.arrived, house.name, request, asked.bound_to)
         self.log.debug("request", cls=asked.cls, tenant=asked.tenant)
 
     def answer(
@@ -77,11 +77,11 @@
     ) -> None:
         """The one answer; ``left`` is a downstream that waits for none."""
         self.house.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
-        self.house.tracing.to.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
+        self.house.tracing.current.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
         self.log.debug("answer", outcome=outcome, attempts=attempts, host=host)
 
     def attempt(self, at: timedelta, number: int, host: str, status: str, took_us: int, detail: str = "") -> None:
-        self.house.tracing.to.attempt(at, self.request.id, number, host, status, took_us, detail)
+        self.house.tracing.current.attempt(at, self.request.id, number, host, status, took_us, detail)
         self.log.debug("attempt", number=number, host=host, status=status, took_us=took_us, detail=detail)
 
 
@@ -183,7 +183,7 @@
     """From here on it can be moved: whoever moves it finds its host."""
     told.answer(at, "served", attempts, host)
     _hold(house, standing, host, visit)
-    house.tracing.to.stand(at, standing.id, host, resumed)
+    house.tracing.current.established(at, standing.id, host, resumed)
 
 
 def _hold(house: House, standing: Standing, host: str, visit: Visit) -> None:
@@ -206,7 +206,7 @@
     ended = "handed_on" if status is None else status.name.lower()
     house.counters.add("moved" if standing.moved else "handed_on" if status is None else f"ended_{ended}")
     at = now()
-    house.tracing.to.ended(at, standing.id, standing.host, ended, at - began, standing.moved)
+    house.tracing.current.ended(at, standing.id, standing.host, ended, at - began, standing.moved)
     return status or Status.CANCELLED
 
 
@@ -220,7 +220,7 @@
     def carry() -> None:
         try:
             house.counters.add("adopted")
-            house.tracing.to.stand(at, standing.id, standing.host, True)
+            house.tracing.current.established(at, standing.id, standing.host, True)
             _inherit(house, standing, request, at)
         finally:
             house.decisions.release(visit)
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -16,7 +16,7 @@
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.memory.counters import Counters
-from bramblestile.tracing import Tracer, Tracing
+from bramblestile.tracing import Tracer, TracerHandle
 from vanegw import handover
 from vanegw import interface as api
 from vanegw.recording import DecisionSnapshot, RecordingBalancer
@@ -78,11 +78,11 @@
         seed: int,
         cluster: Cluster,
         counters: Counters,
-        tracing: Tracing | None = None,
+        tracing: TracerHandle | None = None,
         name: str = "",
     ) -> None:
         self._balancer = RecordingBalancer(settings, seed)
-        self._tracing = tracing or Tracing()
+        self._tracing = tracing or TracerHandle()
         self._name = name  # the front's, for the trace
         self._log = Log(front=name) if name else Log()
         self._cluster = cluster
@@ -168,10 +168,10 @@
 
     def tell(self, event: api.Event) -> None:
         later: list[api.Action] = []
-        tracer = self._tracing.to
+        tracer = self._tracing.current
         with self._lock:
             at = now()
-            self._balancer.recording, self._balancer.make_candidate = tracer.watching, tracer.belief
+            self._balancer.recording, self._balancer.make_candidate = tracer.recording, tracer.make_candidate
             try:
                 actions = self._balancer.handle(micros(at), event)
             except Exception:
@@ -190,7 +190,7 @@
                     later.append(action)
         for name in counted:
             self._counters.add(name)
-        if tracer.watching:
+        if tracer.recording:
             self._trace(tracer, at, event, views, later)
         for action in later:
             self._carry_out(action)
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -41,7 +41,7 @@
 )
 from bramblestile.process.front import Front, LineFront, NatsFront, naming
 from bramblestile.process.listeners import Listener, take_over
-from bramblestile.tracing import Tracer, Tracing
+from bramblestile.tracing import Tracer, TracerHandle
 from bramblestile.wire import agent
 from vanegw.interface import State
 
@@ -143,7 +143,7 @@
     def __init__(self, config: Config) -> None:
         self.counters = Counters()
         self.log = Log()
-        self.tracing = Tracing()
+        self.tracing = TracerHandle()
         self.recorder: Recorder | None = None
         self.leaving = False
         self.stopping = threading.Event()
@@ -375,13 +375,13 @@
     def _trace(self, plan: TraceConfig | None) -> None:
         """Records by this plan from now on; None: not at all."""
         if self.recorder is not None:
-            self.tracing.to = Tracer()
+            self.tracing.current = Tracer()
             self.recorder.stop(timeout=timedelta(seconds=2))
             self.recorder = None
         if plan is not None:
             self.recorder = recorder = make_recorder(plan, self.counters)
             recorder.start()
-            self.tracing.to = recorder
+            self.tracing.current = recorder
             recorder.started(now(), plan.hall, [front.name for front in self.fronts])
 
     def stop_trace(self) -> None:
@@ -560,7 +560,7 @@
     def _move(self, standing: Standing, reason: str) -> None:
         told = standing.moved or standing.move_wanted
         if standing.move(TICK) and not told:
-            self.tracing.to.moved(now(), standing.id, standing.host, reason)
+            self.tracing.current.moved(now(), standing.id, standing.host, reason)
 
     def _stop_listening(self, listeners: list[Listener], after: timedelta) -> None:
         time.sleep(after.total_seconds())
@@ -586,10 +586,10 @@
     except ConfigError as error:
         daemon.counters.add("reloads_refused")
         daemon.log.error("reload", text=f"kept as it was: {error}")
-        daemon.tracing.to.reloaded(now(), False, str(error))
+        daemon.tracing.current.reloaded(now(), False, str(error))
         return
     daemon.counters.add("reloads")
-    daemon.tracing.to.reloaded(now(), True, "")
+    daemon.tracing.current.reloaded(now(), True, "")
     daemon.log.info("reload", text="done")
 
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -22,7 +22,7 @@
 from bramblestile.process.config import ConfigError, FrontConfig, NatsConfig, TlsConfig
 from bramblestile.process.listeners import Listener
 from bramblestile.sockets import Address, Transport
-from bramblestile.tracing import Tracing
+from bramblestile.tracing import TracerHandle
 from bramblestile.wire import lines, nats
 from bramblestile.wire.agent import Opinion
 from bramblestile.wire.checks import Checks
@@ -82,10 +82,10 @@
     name = ""
     key = ""  # of its address, in the configuration
 
-    def __init__(self, config: FrontConfig, counters: Counters, tracing: Tracing | None = None) -> None:
+    def __init__(self, config: FrontConfig, counters: Counters, tracing: TracerHandle | None = None) -> None:
         self.config = config
         self.counters = counters
-        self.tracing = tracing or Tracing()
+        self.tracing = tracing or TracerHandle()
         self.log = Log(front=self.name)
         self.cluster = Cluster()
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
@@ -385,7 +385,7 @@
                 break
         self._watched.discard(name)
 
-    def __init__(self, config: NatsConfig, counters: Counters, tracing: Tracing | None = None) -> None:
+    def __init__(self, config: NatsConfig, counters: Counters, tracing: TracerHandle | None = None) -> None:
         self._watched = _Names()
         super().__init__(config, counters, tracing)
         self._greet(config)
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -76,8 +76,8 @@
 class RecordBuilder(Tracer):
     """Builds a record for each event and passes it to ``emit``."""
 
-    watching = True
-    belief = records.Candidate
+    recording = True
+    make_candidate = records.Candidate
 
     def __init__(self, emit: Callable[[Record], None]) -> None:
         self._emit = emit
@@ -173,7 +173,7 @@
             )
         )
 
-    def stand(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
+    def established(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
         """Record that a connection is established."""
         self._emit(records.Stand(id, host, resumed, at=at // MICROSECOND))
 
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -17,8 +17,8 @@
 class Tracer:
     """Hears what happens. This one does nothing: tracing is off. Times are spans since the epoch."""
 
-    watching = False  # whether decisions are to come with what the module believed
-    belief: Callable[..., Any] = CandidateSnapshot  # what they hold of each host is made by this
+    recording = False  # whether decisions are to come with what the module believed
+    make_candidate: Callable[..., Any] = CandidateSnapshot  # what they hold of each host is made by this
 
     def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None: ...
 
@@ -43,7 +43,7 @@
         wait_us: int | None = None,
     ) -> None: ...
 
-    def stand(self, at: timedelta, id: str, host: str, resumed: bool) -> None: ...
+    def established(self, at: timedelta, id: str, host: str, resumed: bool) -> None: ...
 
     def note(self, at: timedelta, note: api.Note) -> None: ...
 
@@ -60,10 +60,10 @@
     def reloaded(self, at: timedelta, taken: bool, text: str) -> None: ...
 
 
-class Tracing:
+class TracerHandle:
     """Where the parts find the tracer of the moment: a reload may put another in its place while they run."""
 
-    __slots__ = ("to",)
+    __slots__ = ("current",)
 
-    def __init__(self, to: Tracer | None = None) -> None:
-        self.to = to or Tracer()
+    def __init__(self, current: Tracer | None = None) -> None:
+        self.current = current or Tracer()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -95,7 +95,7 @@
         )
         self.balancer = RecordingBalancer(settings, self.seed)
         self.builder = RecordBuilder(self.new_records.append)
-        self.balancer.recording, self.balancer.make_candidate = True, self.builder.belief
+        self.balancer.recording, self.balancer.make_candidate = True, self.builder.make_candidate
         self.now = START
         self.queue: list[tuple[int, int, str, Any]] = []
         self.sequence = itertools.count()
@@ -245,7 +245,7 @@
             host.connections += 1
             client.host, client.started_us = host, self.now
             self.record_answer(client, "served", host.name)
-            self.builder.stand(self.clock(), request_id, host.name, False)
+            self.builder.established(self.clock(), request_id, host.name, False)
             self.handle(api.Opened(request_id, client.number, host.name, took_us))
             self.schedule(self.random.uniform(2, 20) * 1e6, "ended", (client, "served", False))
             return
