--- a/bramblestile/memory/counters.py
+++ b/bramblestile/memory/counters.py
@@ -13,22 +13,22 @@
         self._lock = threading.Lock()
         self._counts: Counter[str] = Counter()
 
-    def add(self, name: str, by: int = 1) -> None:
-        if by:
+    def add(self, name: str, amount: int = 1) -> None:
+        if amount:
             with self._lock:
-                self._counts[name] += by
+                self._counts[name] += amount
 
     def get(self, name: str) -> int:
         with self._lock:
             return self._counts[name]
 
-    def lines(self) -> list[str]:
+    def as_lines(self) -> list[str]:
         with self._lock:
             return [f"{name} {count}" for name, count in sorted(self._counts.items())]
 
-    def all(self) -> dict[str, int]:
+    def as_dict(self) -> dict[str, int]:
         with self._lock:
             return dict(sorted(self._counts.items()))
 
-    def print(self) -> None:
-        Log().info("counters", **self.all())
+    def log(self) -> None:
+        Log().info("counters", **self.as_dict())
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -614,9 +614,9 @@
         if caught is signal.SIGHUP:
             reload(daemon, arguments)
         else:
-            daemon.counters.print()
+            daemon.counters.log()
     daemon.stop()
     daemon.stop_trace()
-    daemon.counters.print()
+    daemon.counters.log()
     sys.stderr.flush()
     os._exit(0)  # threads that still wait on a socket must not hold up the exit
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -200,7 +200,7 @@
     def step(self, line: str) -> None:
         actor, verb, rest = (*line.split(" ", 2), "")[:3]
         if actor == "wait":
-            self.until(lambda: self.counters.get(verb) >= int(rest), f"{verb}: {self.counters.lines()}")
+            self.until(lambda: self.counters.get(verb) >= int(rest), f"{verb}: {self.counters.as_lines()}")
         elif actor == "reload":  # follow DISCOVERY, or none: the list in the file, which is empty now
             if verb == "none":
                 self.reload(discovery=None, known={"seq": 1, "hosts": []})
