--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -162,11 +162,11 @@
 def _send(house: House, downstream: Downstream, choice: api.Attempt) -> Answer:
     host = house.cluster.find(choice.backend)
     # The list may have changed since the module chose; nothing reaches a host that is not in it.
-    if host is None or not house.cluster.takes_work(host):
+    if host is None or not house.cluster.accepts_requests(host):
         return NotUp(Status.NO_ROUTE)
     house.counters.add("upstream_requests")
     return downstream.upstream_request(
-        partial(house.dial, host), span(choice.until_us), house.connect_within, partial(house.cluster.sending, host)
+        partial(house.dial, host), span(choice.until_us), house.connect_within, partial(house.cluster.guard_send, host)
     )
 
 
--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -24,7 +24,7 @@
     cell: int = 0
     weight: float = 1.0
     state: State = State.RUNNING
-    born: timedelta | None = None
+    started_at: timedelta | None = None
     tls_name: str = ""  # who it must prove to be; empty: what the configuration's template says
 
 
@@ -46,11 +46,11 @@
         self._leaving: set[str] = set()  # have said themselves that they drain
         self._suspended: Collection[str] = ()  # taken out by operators, listed or not
         self._lean: Mapping[str, float] = {}  # the part of its weight by which a host draws clients
-        self.may: Callable[[str], bool] | None = None  # asked at every send beside all else; None: nobody is
+        self.send_allowed: Callable[[str], bool] | None = None  # asked at every send beside all else; None: nobody is
         self._back: Mapping[str, timedelta] = {}  # called back by operators, and from when they count as born
         self._sending: Counter[str] = Counter()  # requests that are being written to a host
 
-    def apply(self, mode: ListMode, hosts: Sequence[UpstreamHost]) -> list[UpstreamHost]:
+    def update(self, mode: ListMode, hosts: Sequence[UpstreamHost]) -> list[UpstreamHost]:
         """Takes discovery's news; returns them as the decisions are to hear them."""
         with self._lock:
             if mode is not ListMode.CHANGES:
@@ -62,7 +62,7 @@
             for host in hosts:
                 old = self._listed.get(host.id)
                 again = old is not None and old.state is State.DRAINING and host.state is State.RUNNING
-                anew = host.state is State.GONE or (old is not None and old.born != host.born)
+                anew = host.state is State.GONE or (old is not None and old.started_at != host.started_at)
                 if anew:
                     self._opinions.pop(host.id, None)
                     self._closed.discard(host.id)
@@ -74,7 +74,7 @@
                     self._listed[host.id] = host
             return [self._seen(host) for host in hosts]
 
-    def opine(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
+    def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
         """Takes an opinion; returns the host where it changes how it is seen."""
         with self._lock:
             host = self._listed.get(name)
@@ -88,11 +88,11 @@
             after = self._seen(host)
             return after if after != before else None
 
-    def close(self, name: str, closed: bool) -> UpstreamHost | None:
+    def set_closed(self, name: str, closed: bool) -> UpstreamHost | None:
         """Nothing new to a host that cannot prove who it is; what stands there stays. The host where this is news."""
         return self._mark(self._closed, name, closed)
 
-    def drains(self, name: str) -> UpstreamHost | None:
+    def mark_draining(self, name: str) -> UpstreamHost | None:
         """The host has said itself that it drains. The host where this is news."""
         return self._mark(self._leaving, name, True)
 
@@ -113,12 +113,14 @@
             state = State.DRAINING
         if state is State.RUNNING and (host.id in self._closed or host.id in self._suspended):
             state = State.CLOSED
-        born, back = host.born, self._back.get(host.id)
-        if back is not None and (born is None or born < back):
-            born = back
-        return replace(host, state=state, weight=host.weight * share * self._lean.get(host.id, 1.0), born=born)
+        started_at, back = host.started_at, self._back.get(host.id)
+        if back is not None and (started_at is None or started_at < back):
+            started_at = back
+        return replace(
+            host, state=state, weight=host.weight * share * self._lean.get(host.id, 1.0), started_at=started_at
+        )
 
-    def obey(
+    def apply_orders(
         self, suspended: Collection[str], back: Mapping[str, timedelta], lean: Mapping[str, float] | None = None
     ) -> list[str]:
         """Operators' orders, all that hold. Returns the listed hosts that are seen in another way since."""
@@ -127,18 +129,18 @@
             self._suspended, self._back, self._lean = suspended, back, lean or {}
             return [name for name, host in self._listed.items() if self._seen(host) != before[name]]
 
-    def born(self, name: str) -> timedelta | None:
+    def started_at(self, name: str) -> timedelta | None:
         """As it is listed, whatever operators say."""
         with self._lock:
             host = self._listed.get(name)
-            return None if host is None else host.born
+            return None if host is None else host.started_at
 
     def knows(self, name: str) -> bool:
         with self._lock:
             return name in self._listed or name in self._suspended
 
     @contextmanager
-    def sending(self, host: UpstreamHost) -> Iterator[bool]:
+    def guard_send(self, host: UpstreamHost) -> Iterator[bool]:
         """Around the first bytes of a request: whether they may still go. While it lasts the host is not quiet."""
         with self._lock:
             allowed = self._takes_work(host)
@@ -151,7 +153,7 @@
                 if not self._sending[host.id]:
                     del self._sending[host.id]
 
-    def is_quiet(self, name: str) -> bool:
+    def has_no_sends_in_progress(self, name: str) -> bool:
         """No request is being written to this host."""
         with self._lock:
             return name not in self._sending
@@ -165,13 +167,13 @@
         with self._lock:
             return [self._seen(host) for host in self._listed.values()]
 
-    def listed(self) -> list[UpstreamHost]:
+    def listed_hosts(self) -> list[UpstreamHost]:
         """As discovery tells them, with the checks' opinions and operators' call backs, whatever is taken out or leaned
         away from."""
         with self._lock:
-            return [replace(host, born=self._seen(host).born) for host in self._listed.values()]
+            return [replace(host, started_at=self._seen(host).started_at) for host in self._listed.values()]
 
-    def takes_work(self, host: UpstreamHost) -> bool:
+    def accepts_requests(self, host: UpstreamHost) -> bool:
         """Still the same start of the same host, and neither draining nor gone."""
         with self._lock:
             return self._takes_work(host)
@@ -182,6 +184,6 @@
         return (
             seen is not None
             and seen.state is State.RUNNING
-            and seen.born == host.born
-            and (self.may is None or self.may(host.id))
+            and seen.started_at == host.started_at
+            and (self.send_allowed is None or self.send_allowed(host.id))
         )
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -39,7 +39,7 @@
         host.zone,
         host.cell,
         host.weight,
-        None if host.born is None else micros(host.born),
+        None if host.started_at is None else micros(host.started_at),
         host.kind,
         host.state,
     )
@@ -132,22 +132,22 @@
 
     def list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         """News of the cluster. The addresses come first: the module may choose a new host at once."""
-        seen = [] if mode is api.ListMode.UNAVAILABLE else self._cluster.apply(mode, hosts)
+        seen = [] if mode is api.ListMode.UNAVAILABLE else self._cluster.update(mode, hosts)
         if mode is api.ListMode.UNAVAILABLE:
             self._counters.add("list_unavailable")
         self.tell(api.BackendList(mode, tuple(backend(h) for h in seen)))
 
     def opine(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
         """What a check says of a host. True where it is news."""
-        return self._changed(self._cluster.opine(name, takes_work, share))
+        return self._changed(self._cluster.apply_check(name, takes_work, share))
 
     def drains(self, name: str) -> bool:
         """The host has said itself that it drains. True where it is news."""
-        return self._changed(self._cluster.drains(name))
+        return self._changed(self._cluster.mark_draining(name))
 
     def close(self, name: str, closed: bool) -> None:
         """Nothing new to this host from now on, or again; what stands there stays."""
-        self._changed(self._cluster.close(name, closed))
+        self._changed(self._cluster.set_closed(name, closed))
 
     def figures(self) -> dict[str, tuple[float | None, bool]]:
         """For each host its load as last reported, and whether it is masked for its failures."""
--- a/bramblestile/operations/calls.py
+++ b/bramblestile/operations/calls.py
@@ -27,13 +27,13 @@
     def knows(self, host: str) -> bool:
         """The host is listed, or is out by an order."""
 
-    def born(self, host: str) -> timedelta | None:
+    def started_at(self, host: str) -> timedelta | None:
         """Its last start, as listed."""
 
     def order(self, change: Callable[[Orders], Orders]) -> None:
         """Keeps and obeys it; from the return on no send begins that it forbids. NotKeptError: it is not taken."""
 
-    def is_quiet(self, host: str) -> bool:
+    def has_no_sends_in_progress(self, host: str) -> bool:
         """No request is being sent there."""
 
     def work(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
@@ -101,7 +101,7 @@
             return Answer(404, "no image server of this id is listed")
 
         def change(orders: Orders) -> Orders:
-            return orders.suspend(host, now()) if out else orders.resume(host, now(), self._operated.born(host))
+            return orders.suspend(host, now()) if out else orders.resume(host, now(), self._operated.started_at(host))
 
         refused = self._order(change)
         if refused or not out:
@@ -110,7 +110,7 @@
 
         def pending() -> Answer | None:
             """What began to be sent there before the order ends first: from the yes on nothing reaches it."""
-            if self._operated.is_quiet(host):
+            if self._operated.has_no_sends_in_progress(host):
                 return YES
             return Answer(503, "taken out, but a request is still being sent there") if now() >= until else None
 
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -185,7 +185,7 @@
             if config.work is not None:
                 self.maintenance = make_maintenance(config.work, self, self.gossip, config)
                 for front in self.fronts:
-                    front.cluster.may = self.maintenance.allows
+                    front.cluster.send_allowed = self.maintenance.allows
         if self.lines is not None and config.inherited is not None:
             try:
                 self.lines.inherited = take_over(config.inherited)
@@ -282,11 +282,13 @@
     def knows(self, host: str) -> bool:
         return any(front.cluster.knows(host) for front in self.fronts)
 
-    def born(self, host: str) -> timedelta | None:
-        return next((born for front in self.fronts if (born := front.cluster.born(host)) is not None), None)
+    def started_at(self, host: str) -> timedelta | None:
+        return next(
+            (started_at for front in self.fronts if (started_at := front.cluster.started_at(host)) is not None), None
+        )
 
-    def is_quiet(self, host: str) -> bool:
-        return all(front.cluster.is_quiet(host) for front in self.fronts)
+    def has_no_sends_in_progress(self, host: str) -> bool:
+        return all(front.cluster.has_no_sends_in_progress(host) for front in self.fronts)
 
     def order(self, change: Callable[[Orders], Orders]) -> None:
         with self._ordering:
@@ -305,7 +307,7 @@
                 constraints.draining_since,
             )
         )
-        changed = [(front, front.cluster.obey(closed_hosts, back, weight_factors)) for front in self.fronts]
+        changed = [(front, front.cluster.apply_orders(closed_hosts, back, weight_factors)) for front in self.fronts]
         drained = orders.drained or (constraints is not None and constraints.drain_self)
         if drained != (self._drained_since is not None):
             self._drained_since = now() if drained else None
@@ -452,7 +454,7 @@
         found = {}
         for front in self.fronts:
             figures = front.decisions.figures()
-            for host in front.cluster.listed():
+            for host in front.cluster.listed_hosts():
                 load, masked = figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
                 found[host.id] = MachineView(
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -143,9 +143,9 @@
         """The part of its capacity that a host has by now, or so much later, as the module reckons it (``rules.py``,
         ``_warmth``)."""
         settings = self.config.settings
-        if host.born is None or settings.cold_us <= 0:
+        if host.started_at is None or settings.cold_us <= 0:
             return 1.0
-        part = min(1.0, max(0.0, (now() + later - host.born) / timedelta(microseconds=settings.cold_us)))
+        part = min(1.0, max(0.0, (now() + later - host.started_at) / timedelta(microseconds=settings.cold_us)))
         return settings.cold_from + (1 - settings.cold_from) * part
 
     def prepare(self, config: FrontConfig) -> Callable[[], None]:
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -119,15 +119,15 @@
     def _sought(self, host: UpstreamHost) -> tuple[Trust, Name, Key]:
         """By which files, and as whom, this host is dialled."""
         trust, name = self._trust, self.name_of(host)
-        return trust, name, Key(host.id, host.born, str(name), trust.number)
+        return trust, name, Key(host.id, host.started_at, str(name), trust.number)
 
     def _meet(self, host: UpstreamHost) -> None:
         """With the lock held. Another start of the host is another host: nothing that was learned holds."""
-        if self._born.get(host.id, host.born) != host.born:
+        if self._born.get(host.id, host.started_at) != host.started_at:
             self._budget.forget(host.id)
             self._tickets.drop(host.id)
             self._refusals.accept(host.id)
-        self._born[host.id] = host.born
+        self._born[host.id] = host.started_at
         if len(self._born) > 2 * MOST_HOSTS:
             self._born = {n: b for n, b in self._born.items() if self._find(n) is not None}
 
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -40,7 +40,7 @@
     found = []
     for entry in entries:
         try:
-            born = int(entry.get("born_ms") or 0)
+            started_at = int(entry.get("born_ms") or 0)
             found.append(
                 UpstreamHost(
                     id=str(entry["host"]),
@@ -50,7 +50,7 @@
                     cell=int(entry.get("block") or 0),
                     weight=float(entry.get("share", 1.0)),
                     state=STATES[entry["health"]],
-                    born=timedelta(milliseconds=born) if born else None,
+                    started_at=timedelta(milliseconds=started_at) if started_at else None,
                     tls_name=str(entry.get("tls_name") or ""),
                 )
             )
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -61,9 +61,9 @@
             if host is None:  # nothing is sent to a host that is no longer listed
                 self._tell(ProbeResult(name, Status.NOT_SENT, 0))
                 continue
-            if place not in (None, (host.address, host.born)):  # another start may be another host
+            if place not in (None, (host.address, host.started_at)):  # another start may be another host
                 close()
-            place = host.address, host.born
+            place = host.address, host.started_at
             status, report = ask(host, self.within)
             self._counters.add(f"probes_{status.name.lower()}")
             self._tell(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -83,7 +83,7 @@
     def hosts(self) -> list[str]:
         """Return the names of the hosts that this balancer may send to."""
 
-    def is_quiet(self, host: str) -> bool:
+    def has_no_sends_in_progress(self, host: str) -> bool:
         """Return whether no request to this host is being written."""
 
     def connections(self, hosts: Iterable[str]) -> dict[str, int]:
@@ -279,7 +279,11 @@
         quiesced = [
             h
             for h in excluded
-            if (self._constraints.drain_self if h == self.participant.machine_name else self._balancer.is_quiet(h))
+            if (
+                self._constraints.drain_self
+                if h == self.participant.machine_name
+                else self._balancer.has_no_sends_in_progress(h)
+            )
         ]
         connections = self._balancer.connections(excluded) if excluded else {}
         if self.participant.is_excluded:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -224,9 +224,9 @@
 
     def tell(self, name: str, state: str) -> None:
         host = self.front.cluster.find(name) or self.front.config.known[int(name[1:])]
-        born = now() if state == "cold" else host.born
+        started_at = now() if state == "cold" else host.started_at
         word = "running" if state == "cold" else state
-        self.front.decisions.list(api.ListMode.CHANGES, (replace(host, state=api.State(word), born=born),))
+        self.front.decisions.list(api.ListMode.CHANGES, (replace(host, state=api.State(word), started_at=started_at),))
 
     def peer(self, actor: str) -> Peer:
         if actor not in self.peers:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -94,11 +94,11 @@
         return said("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
 
     assert said("agent_check") == "up ready 100%"
-    daemon.fronts[0].decisions.opine("a", takes_work=False)
+    daemon.fronts[0].decisions.apply_check("a", takes_work=False)
     assert (said("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
     assert (http("/other"), http("/live", "POST")) == ("404 Not Found", "405 Method Not Allowed")
     assert said("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
-    daemon.fronts[0].decisions.opine("b", takes_work=False)
+    daemon.fronts[0].decisions.apply_check("b", takes_work=False)
     assert (said("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
     daemon.leaving = True
     assert (said("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
@@ -107,9 +107,9 @@
 @pytest.mark.parametrize(
     ("say", "kept"),
     [
-        (lambda cluster: cluster.drains("a"), State.RUNNING),
-        (lambda cluster: cluster.opine("a", False), State.DRAINING),
-        (lambda cluster: cluster.close("a", True), State.CLOSED),
+        (lambda cluster: cluster.mark_draining("a"), State.RUNNING),
+        (lambda cluster: cluster.apply_check("a", False), State.DRAINING),
+        (lambda cluster: cluster.set_closed("a", True), State.CLOSED),
     ],
 )
 def test_a_host_in_service_again_keeps_what_others_said_of_it(say: Callable[[Cluster], object], kept: State) -> None:
@@ -117,8 +117,8 @@
     # word when discovery lists it again, the down or the unproven host would get new work.
     host = UpstreamHost("a", ("127.0.0.1", 1))
     cluster = Cluster()
-    cluster.apply(ListMode.COMPLETE, [host])
+    cluster.update(ListMode.COMPLETE, [host])
     assert say(cluster) is not None
-    cluster.apply(ListMode.CHANGES, [replace(host, state=State.DRAINING)])
-    (seen,) = cluster.apply(ListMode.CHANGES, [host])
+    cluster.update(ListMode.CHANGES, [replace(host, state=State.DRAINING)])
+    (seen,) = cluster.update(ListMode.CHANGES, [host])
     assert seen.state is kept
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -81,10 +81,10 @@
             raise NotKeptError("no room")
         self.orders = change(self.orders)
 
-    def born(self, host: str) -> timedelta | None:
+    def started_at(self, host: str) -> timedelta | None:
         return None
 
-    def is_quiet(self, host: str) -> bool:
+    def has_no_sends_in_progress(self, host: str) -> bool:
         return self.quiet
 
     def fleet(self) -> str | None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -32,45 +32,45 @@
 
 def test_an_order_outlasts_whole_lists_a_rebirth_and_a_host_that_vanishes() -> None:
     cluster = Cluster()
-    cluster.apply(ListMode.COMPLETE, [A, B])
-    assert cluster.obey({"a"}, {}) == ["a"]
+    cluster.update(ListMode.COMPLETE, [A, B])
+    assert cluster.apply_orders({"a"}, {}) == ["a"]
     for mode, listed in (
         (ListMode.COMPLETE, A),
         (ListMode.CHANGES, replace(A, state=State.DRAINING)),
         (ListMode.CHANGES, A),
-        (ListMode.CHANGES, replace(A, born=5 * S)),
+        (ListMode.CHANGES, replace(A, started_at=5 * S)),
         (ListMode.CHANGES, replace(A, state=State.GONE)),
-        (ListMode.COMPLETE, replace(A, born=9 * S)),
+        (ListMode.COMPLETE, replace(A, started_at=9 * S)),
     ):
-        cluster.apply(mode, [listed, B])
-        cluster.opine("a", takes_work=True)
+        cluster.update(mode, [listed, B])
+        cluster.apply_check("a", takes_work=True)
         found = cluster.find("a")
         assert found is None or found.state in (State.CLOSED, State.DRAINING)
-        with cluster.sending(replace(A, born=listed.born)) as allowed:
+        with cluster.guard_send(replace(A, started_at=listed.started_at)) as allowed:
             assert not allowed
     assert cluster.knows("a") and not cluster.knows("c")
 
 
 def test_called_back_a_host_counts_as_just_born_until_it_is_listed_as_younger() -> None:
     cluster = Cluster()
-    cluster.apply(ListMode.COMPLETE, [replace(A, born=3 * S)])
-    cluster.obey({"a"}, {})
-    assert cluster.obey((), {"a": 50 * S}) == ["a"]
+    cluster.update(ListMode.COMPLETE, [replace(A, started_at=3 * S)])
+    cluster.apply_orders({"a"}, {})
+    assert cluster.apply_orders((), {"a": 50 * S}) == ["a"]
     for listed, seen in ((None, 50), (3 * S, 50), (45 * S, 50), (60 * S, 60)):
-        cluster.apply(ListMode.CHANGES, [replace(A, born=listed)])
+        cluster.update(ListMode.CHANGES, [replace(A, started_at=listed)])
         found = cluster.find("a")
-        assert found is not None and (found.born, found.state) == (seen * S, State.RUNNING)
+        assert found is not None and (found.started_at, found.state) == (seen * S, State.RUNNING)
 
 
 def test_a_host_is_quiet_once_what_began_before_the_order_is_written() -> None:
     cluster = Cluster()
-    cluster.apply(ListMode.COMPLETE, [A])
-    with cluster.sending(A) as allowed:
-        assert allowed and not cluster.is_quiet("a")
-        cluster.obey({"a"}, {})
-        with cluster.sending(A) as late:
+    cluster.update(ListMode.COMPLETE, [A])
+    with cluster.guard_send(A) as allowed:
+        assert allowed and not cluster.has_no_sends_in_progress("a")
+        cluster.apply_orders({"a"}, {})
+        with cluster.guard_send(A) as late:
             assert not late
-    assert cluster.is_quiet("a")
+    assert cluster.has_no_sends_in_progress("a")
 
 
 def test_every_cut_of_the_file_is_served_on_without_and_mended_by_the_next_order(memory_path: Path) -> None:
@@ -156,8 +156,8 @@
 def test_called_back_a_host_counts_from_its_restart_if_the_list_tells_that_and_else_from_now(
     listed: int | None, counts: int
 ) -> None:
-    born = None if listed is None else listed * S
-    assert Orders({"a": 5 * S}).resume("a", 9 * S, born).back == {"a": counts * S}
+    started_at = None if listed is None else listed * S
+    assert Orders({"a": 5 * S}).resume("a", 9 * S, started_at).back == {"a": counts * S}
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
@@ -165,7 +165,7 @@
     """Both fronts: the host goes out while the request waits for its answer elsewhere; nothing more reaches it."""
     stage = Stage(wire, hosts=2, try_limit=6)
     cluster = stage.front.cluster
-    stage.front.decisions.relist(cluster.obey({"b0"}, {}))
+    stage.front.decisions.relist(cluster.apply_orders({"b0"}, {}))
     stage.play("c1 ask\n b1 taken\n b1 up\n c1 served\n b0 idle\n c2 ask\n b1 accept\n b1 taken\n b1 full\n b0 idle")
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -262,7 +262,7 @@
     assert [talk(made, to).reused for _ in range(2)] == [False, True]
     to.entry = replace(to.entry, tls_name="else.test")
     assert [talk(made, to).reused for _ in range(2)] == [False, True]
-    to.entry = replace(to.entry, born=now())
+    to.entry = replace(to.entry, started_at=now())
     assert [talk(made, to).reused for _ in range(2)] == [False, True]
     mine.write_bytes(ca().file.read_bytes() + OTHER.file.read_bytes())
     assert made.reread() and [talk(made, to).reused for _ in range(2)] == [False, True]
