--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -63,7 +63,9 @@
         decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
         pending_probes: list[str] = []
         decisions.on_probe = pending_probes.append
-        decisions.list(api.ListMode.COMPLETE, [UpstreamHost(f"h{n}", ("127.0.0.1", 1 + n)) for n in range(hosts)])
+        decisions.update_list(
+            api.ListMode.COMPLETE, [UpstreamHost(f"h{n}", ("127.0.0.1", 1 + n)) for n in range(hosts)]
+        )
         cost_us: dict[bool, list[float]] = {True: [], False: []}
         number = 0
         for round_number in range(rounds * 2):
@@ -82,24 +84,24 @@
 def _serve_request(decisions: Decisions, tracer: Tracer, pending_probes: list[str], request_id: str) -> None:
     """Do what ``life.live`` does to trace a request that is served."""
     request = api.Request(request_id, "feed", 1_485_000, "vestland-museum", 77, 5)
-    visit = decisions.enter(request_id, now() + timedelta(seconds=1))
+    visit = decisions.register(request_id, now() + timedelta(seconds=1))
     assert visit is not None
     tracer.request(now(), "lines", request, None)
-    decisions.tell(request)
+    decisions.handle_event(request)
     while pending_probes:
-        decisions.tell(
+        decisions.handle_event(
             api.ProbeResult(pending_probes.pop(), api.Status.SERVED, 900, api.Report(load=1e-4, latency_ms=2.0))
         )
-    choice = visit.next()
+    choice = visit.next_choice()
     assert isinstance(choice, api.Attempt)
     at = now()
     tracer.attempt(at, request_id, 0, choice.backend, "up", 900)
     tracer.answer(at, request, "served", 1, timedelta(milliseconds=2), choice.backend)
     tracer.established(at, request_id, choice.backend, False)
-    decisions.tell(api.Opened(request_id, 0, choice.backend, 900))
+    decisions.handle_event(api.Opened(request_id, 0, choice.backend, 900))
     tracer.ended(at, request_id, choice.backend, "served", timedelta(seconds=2), False)
-    decisions.tell(api.Outcome(request_id, 0, choice.backend, api.Status.SERVED, 900, finished=True))
-    decisions.release(visit)
+    decisions.handle_event(api.Outcome(request_id, 0, choice.backend, api.Status.SERVED, 900, finished=True))
+    decisions.unregister(visit)
 
 
 @click.command()
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -15,7 +15,7 @@
 from bramblestile.memory.cluster import Cluster
 from bramblestile.memory.connections import Connections, Halt, Observer, Standing
 from bramblestile.memory.counters import Counters
-from bramblestile.memory.decisions import Decisions, Visit, micros, span
+from bramblestile.memory.decisions import ActiveRequest, Decisions, from_microseconds, to_microseconds
 from bramblestile.tracing import TracerHandle
 from vanegw import interface as api
 from vanegw.interface import Status
@@ -92,7 +92,7 @@
     request = api.Request(
         asked.id,
         asked.cls,
-        micros(max(asked.wait, ZERO_DURATION)),
+        to_microseconds(max(asked.wait, ZERO_DURATION)),
         asked.tenant,
         asked.key,
         asked.group,
@@ -100,7 +100,7 @@
         asked.is_retry,
         asked.is_return,
     )
-    visit = house.decisions.enter(asked.id, arrived + asked.wait)
+    visit = house.decisions.register(asked.id, arrived + asked.wait)
     if visit is None:
         # Not told as a request: its id is another's, and its story would be mixed up with that one's.
         house.counters.add("ids_in_use")
@@ -112,17 +112,17 @@
         if asked.bound_to is not None:
             _resume(house, downstream, asked, request, visit, told)
             return
-        house.decisions.tell(request)
+        house.decisions.handle_event(request)
         number = 0
         while True:
-            choice = visit.next()
+            choice = visit.next_choice()
             if downstream.has_disconnected():
                 told.answer(now(), "left", number)
-                house.decisions.tell(api.ClientGone(asked.id))
+                house.decisions.handle_event(api.ClientGone(asked.id))
                 return
             if isinstance(choice, api.Refuse):
                 told.answer(now(), "refused", number, wait_us=choice.retry_after_us)
-                downstream.refuse(span(choice.retry_after_us))
+                downstream.refuse(from_microseconds(choice.retry_after_us))
                 return
             if isinstance(choice, api.Fail):
                 told.answer(now(), "failed", number)
@@ -131,7 +131,7 @@
             sent = now()
             answer = _send(house, downstream, choice)
             at = now()
-            took = micros(at - sent)
+            took = to_microseconds(at - sent)
             if isinstance(answer, NotUp):
                 house.counters.add(f"upstream_{answer.status.name.lower()}")
                 told.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
@@ -139,8 +139,8 @@
                     house.drains(choice.backend)
                 if answer.downstream_left:
                     told.answer(at, "left", number + 1)
-                    house.decisions.tell(api.ClientGone(asked.id))
-                house.decisions.tell(
+                    house.decisions.handle_event(api.ClientGone(asked.id))
+                house.decisions.handle_event(
                     api.Outcome(asked.id, number, choice.backend, answer.status, took, finished=answer.downstream_left)
                 )
                 if answer.downstream_left:
@@ -149,14 +149,14 @@
                 continue
             told.attempt(at, number, choice.backend, "up", took)
             _stand(house, answer.standing, choice.backend, visit, told, at, number + 1)
-            house.decisions.tell(api.Opened(asked.id, number, choice.backend, took))
+            house.decisions.handle_event(api.Opened(asked.id, number, choice.backend, took))
             status = _carry(house, answer.standing, at, request)
-            house.decisions.tell(
-                api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent), finished=True)
+            house.decisions.handle_event(
+                api.Outcome(asked.id, number, choice.backend, status, to_microseconds(now() - sent), finished=True)
             )
             return
     finally:
-        house.decisions.release(visit)
+        house.decisions.unregister(visit)
 
 
 def _send(house: House, downstream: Downstream, choice: api.Attempt) -> Answer:
@@ -166,7 +166,10 @@
         return NotUp(Status.NO_ROUTE)
     house.counters.add("upstream_requests")
     return downstream.upstream_request(
-        partial(house.dial, host), span(choice.until_us), house.connect_within, partial(house.cluster.guard_send, host)
+        partial(house.dial, host),
+        from_microseconds(choice.until_us),
+        house.connect_within,
+        partial(house.cluster.guard_send, host),
     )
 
 
@@ -174,7 +177,7 @@
     house: House,
     standing: Standing,
     host: str,
-    visit: Visit,
+    visit: ActiveRequest,
     told: _Told,
     at: timedelta,
     attempts: int,
@@ -186,7 +189,7 @@
     house.tracing.current.established(at, standing.id, host, resumed)
 
 
-def _hold(house: House, standing: Standing, host: str, visit: Visit) -> None:
+def _hold(house: House, standing: Standing, host: str, visit: ActiveRequest) -> None:
     standing.host = visit.host = host
     if house.heir is not None and isinstance(standing.upstream, socket.socket):
         standing.halt = house.heir.halt
@@ -212,7 +215,7 @@
 
 def adopt(house: House, standing: Standing, request: api.Request, run: Callable[[Callable[[], None]], None]) -> bool:
     """Goes on with a connection that another process has carried, in a thread that ``run`` starts. False: not here."""
-    visit = house.decisions.enter(request.id, now())
+    visit = house.decisions.register(request.id, now())
     if visit is None:
         return False
     at = now()
@@ -223,27 +226,27 @@
             house.tracing.current.established(at, standing.id, standing.host, True)
             _inherit(house, standing, request, at)
         finally:
-            house.decisions.release(visit)
+            house.decisions.unregister(visit)
 
     _hold(house, standing, standing.host, visit)
     try:
         run(carry)
     except RuntimeError:  # no thread to be had
         house.connections.remove(standing)
-        house.decisions.release(visit)
+        house.decisions.unregister(visit)
         return False
     return True
 
 
 def _inherit(house: House, standing: Standing, request: api.Request, at: timedelta) -> None:
     """From its stand to its end: a connection that the module has not placed."""
-    house.decisions.tell(api.Inherited(request, standing.host))
+    house.decisions.handle_event(api.Inherited(request, standing.host))
     status = _carry(house, standing, at, request)
-    house.decisions.tell(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
+    house.decisions.handle_event(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
 
 
 def _resume(
-    house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: Visit, told: _Told
+    house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: ActiveRequest, told: _Told
 ) -> None:
     """A connection that its upstream host already holds: it goes there as it is, with no choice to make."""
     name = asked.bound_to or ""
@@ -257,7 +260,7 @@
         )
     )
     at = now()
-    took = micros(at - sent)
+    took = to_microseconds(at - sent)
     house.counters.add("resumed")
     if isinstance(answer, NotUp):
         status = answer.status.name.lower()
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -25,27 +25,27 @@
 LAST_WAIT = timedelta(milliseconds=100)  # past its deadline a request waits hardly longer for the module
 
 
-def micros(span: timedelta) -> int:
-    return span // MICROSECOND
+def to_microseconds(duration: timedelta) -> int:
+    return duration // MICROSECOND
 
 
-def span(micros_: int) -> timedelta:
+def from_microseconds(micros_: int) -> timedelta:
     return timedelta(microseconds=micros_)
 
 
-def backend(host: UpstreamHost) -> api.Backend:
+def to_backend(host: UpstreamHost) -> api.Backend:
     return api.Backend(
         host.id,
         host.zone,
         host.cell,
         host.weight,
-        None if host.started_at is None else micros(host.started_at),
+        None if host.started_at is None else to_microseconds(host.started_at),
         host.kind,
         host.state,
     )
 
 
-def reason(event: api.Event) -> str:
+def move_reason(event: api.Event) -> str:
     """Why the module moves connections, told by what it has just heard."""
     if isinstance(event, api.TimerFired):
         return "drain"
@@ -54,7 +54,7 @@
     return "overload"
 
 
-class Visit:
+class ActiveRequest:
     """One request's place in the decisions: the module's choices for it come in here, in order."""
 
     def __init__(self, name: str, deadline: timedelta) -> None:
@@ -63,7 +63,7 @@
         self.choices: SimpleQueue[Choice] = SimpleQueue()
         self.host = ""  # where its connection stands
 
-    def next(self) -> Choice:
+    def next_choice(self) -> Choice:
         """What the module chooses next. Were it silent, the answer would still be owed: failed."""
         try:
             return self.choices.get(timeout=max(self.deadline - now(), LAST_WAIT).total_seconds())
@@ -91,7 +91,7 @@
         self._due = threading.Condition(threading.Lock())
         self._timers: list[tuple[timedelta, int, str]] = []
         self._set = 0
-        self._visits: dict[str, Visit] = {}
+        self._visits: dict[str, ActiveRequest] = {}
         # Set by the start: what to do, outside the lock, with the actions that concern no request.
         self.on_probe: Callable[[str], None] = lambda host: None
         self.on_move: Callable[[str], None] = lambda connection: None
@@ -104,12 +104,12 @@
         with self._lock:
             self._balancer.reconfigure(settings)
 
-    def learned(self) -> list[dict[str, Any]]:
+    def export_state(self) -> list[dict[str, Any]]:
         """What the module knows, for the process that takes this one's place."""
         with self._lock:
             return handover.export_state(self._balancer)
 
-    def recall(self, part: dict[str, Any]) -> None:
+    def import_state(self, part: dict[str, Any]) -> None:
         """A part of what the process before this one knew. It may be of another version, and what is not understood is
         served on without: it must not end the thread that brought it."""
         try:
@@ -119,61 +119,61 @@
             self._counters.add("recall_refused")
             self._log.warning("recall", text=f"served on without: {error!r}")
 
-    def enter(self, name: str, deadline: timedelta) -> Visit | None:
+    def register(self, name: str, deadline: timedelta) -> ActiveRequest | None:
         """A request's place under its id, until it is released; None while another holds that id. Whoever
         sends the id of another's open request must not get at what is answered, moved or ended under it."""
-        visit = Visit(name, deadline)
+        visit = ActiveRequest(name, deadline)
         with self._lock:
             return visit if self._visits.setdefault(name, visit) is visit else None
 
-    def release(self, visit: Visit) -> None:
+    def unregister(self, visit: ActiveRequest) -> None:
         with self._lock:
             del self._visits[visit.id]
 
-    def list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
+    def update_list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         """News of the cluster. The addresses come first: the module may choose a new host at once."""
         seen = [] if mode is api.ListMode.UNAVAILABLE else self._cluster.update(mode, hosts)
         if mode is api.ListMode.UNAVAILABLE:
             self._counters.add("list_unavailable")
-        self.tell(api.BackendList(mode, tuple(backend(h) for h in seen)))
+        self.handle_event(api.BackendList(mode, tuple(to_backend(h) for h in seen)))
 
-    def opine(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
+    def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
         """What a check says of a host. True where it is news."""
         return self._changed(self._cluster.apply_check(name, takes_work, share))
 
-    def drains(self, name: str) -> bool:
+    def mark_draining(self, name: str) -> bool:
         """The host has said itself that it drains. True where it is news."""
         return self._changed(self._cluster.mark_draining(name))
 
-    def close(self, name: str, closed: bool) -> None:
+    def set_closed(self, name: str, closed: bool) -> None:
         """Nothing new to this host from now on, or again; what stands there stays."""
         self._changed(self._cluster.set_closed(name, closed))
 
-    def figures(self) -> dict[str, tuple[float | None, bool]]:
+    def load_figures(self) -> dict[str, tuple[float | None, bool]]:
         """For each host its load as last reported, and whether it is masked for its failures."""
-        at = micros(now())
+        at = to_microseconds(now())
         with self._lock:
             return {name: (known.load, known.masked_until_us > at) for name, known in self._balancer.backends.items()}
 
-    def relist(self, names: Sequence[str]) -> None:
+    def refresh_hosts(self, names: Sequence[str]) -> None:
         """Tells the module how these hosts are seen now."""
         seen = [host for name in names if (host := self._cluster.find(name)) is not None]
         if seen:
-            self.tell(api.BackendList(api.ListMode.CHANGES, tuple(backend(h) for h in seen)))
+            self.handle_event(api.BackendList(api.ListMode.CHANGES, tuple(to_backend(h) for h in seen)))
 
     def _changed(self, host: UpstreamHost | None) -> bool:
         if host is not None:
-            self.tell(api.BackendList(api.ListMode.CHANGES, (backend(host),)))
+            self.handle_event(api.BackendList(api.ListMode.CHANGES, (to_backend(host),)))
         return host is not None
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         later: list[api.Action] = []
         tracer = self._tracing.current
         with self._lock:
             at = now()
             self._balancer.recording, self._balancer.make_candidate = tracer.recording, tracer.make_candidate
             try:
-                actions = self._balancer.handle(micros(at), event)
+                actions = self._balancer.handle(to_microseconds(at), event)
             except Exception:
                 # A fault in a decision must not end the thread that brought the event: it may hold a client.
                 self._counters.add("decision_faults")
@@ -217,13 +217,13 @@
                 tracer.probe_sent(at, self._name, action.backend)
             elif isinstance(action, api.Move):
                 visit = self._visits.get(action.id)
-                tracer.moved(at, action.id, visit.host if visit else "", reason(event))
+                tracer.moved(at, action.id, visit.host if visit else "", move_reason(event))
 
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             with self._due:
                 self._set += 1
-                heapq.heappush(self._timers, (now() + span(action.after_us), self._set, action.token))
+                heapq.heappush(self._timers, (now() + from_microseconds(action.after_us), self._set, action.token))
                 self._due.notify()
         elif isinstance(action, api.Probe):
             self.on_probe(action.backend)
@@ -241,4 +241,4 @@
                     left = self._timers[0][0] - now() if self._timers else None
                     self._due.wait(None if left is None else max(0.0, left.total_seconds()))
                 token = heapq.heappop(self._timers)[2]
-            self.tell(api.TimerFired(token))
+            self.handle_event(api.TimerFired(token))
--- a/bramblestile/operations/succession.py
+++ b/bramblestile/operations/succession.py
@@ -50,8 +50,8 @@
         self._log = Log(part="succession")
         self.halt = Halt()  # what stands here is to be handed on
         self.adopt: Adopt = lambda message, downstream, upstream: False
-        self.learned: Callable[[], list[dict[str, Any]]] = list  # what a successor is to know
-        self.recall: Callable[[dict[str, Any]], None] = lambda message: None
+        self.export_state: Callable[[], list[dict[str, Any]]] = list  # what a successor is to know
+        self.import_state: Callable[[dict[str, Any]], None] = lambda message: None
         self._recalled = threading.Event()
         self._waits: dict[str, SimpleQueue[bool]] = {}  # for the successor's word on a connection
         self._link: socket.socket | None = None  # to the predecessor
@@ -123,7 +123,7 @@
 
     def _tell_learned(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            for part in self.learned():
+            for part in self.export_state():
                 link.send(_said({"learned": part}))
             link.send(_said({"learned": None}))
 
@@ -157,7 +157,7 @@
                 if message["learned"] is None:
                     self._recalled.set()
                 else:
-                    self.recall(message["learned"])
+                    self.import_state(message["learned"])
                 return
             name = str(message["stand"])
             if len(sides) == 2:  # else there were no descriptors to be had here
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -194,7 +194,10 @@
             if config.kept_in is not None:
                 self.succession = Succession(config.kept_in, self.counters)
                 self.succession.adopt = self._adopt
-                self.succession.learned, self.succession.recall = self.lines.decisions.learned, self._recall
+                self.succession.export_state, self.succession.import_state = (
+                    self.lines.decisions.export_state,
+                    self._recall,
+                )
                 self.lines.house.heir = self.succession
 
     def start(self) -> None:
@@ -258,7 +261,7 @@
                 self._recalled.append(part)
                 return
         assert self.lines is not None
-        self.lines.decisions.recall(part)
+        self.lines.decisions.import_state(part)
 
     def _adopt(self, message: dict[str, Any], downstream: socket.socket, upstream: socket.socket) -> bool:
         """Goes on with a connection of the process before."""
@@ -328,7 +331,7 @@
         while True:
             try:
                 for front, hosts in self._ordered.get(timeout=LOOK_EVERY.total_seconds()):
-                    front.decisions.relist(hosts)
+                    front.decisions.refresh_hosts(hosts)
             except Empty:
                 with self._ordering:
                     if self.kept.look():
@@ -453,9 +456,9 @@
 
         found = {}
         for front in self.fronts:
-            figures = front.decisions.figures()
+            load_figures = front.decisions.load_figures()
             for host in front.cluster.listed_hosts():
-                load, masked = figures.get(host.id, (None, False))
+                load, masked = load_figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
                 found[host.id] = MachineView(
                     host.zone,
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -104,7 +104,7 @@
             self.name,
         )
         self.tls = None if config.tls is None else self._make_tls(config.tls)
-        self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.tell, counters)
+        self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.handle_event, counters)
         self.watch = None if config.discovery is None else self._make_watch(config.discovery, config.known_version)
         self.checks = Checks(config.checks, config.check_every, self.checked, counters)
         self.lobby = Lobby(config.lobby)
@@ -126,7 +126,7 @@
             self.config.settings.balancers,
             self.warmth,
             self.cluster.find,
-            self.decisions.close,
+            self.decisions.set_closed,
             None if config.first else self.before_tls,
             trust=trust,
         )
@@ -168,7 +168,7 @@
         if old is not None:
             old.stop()
             for host in self.cluster.hosts():  # nobody looks at the refused any more
-                self.decisions.close(host.id, False)
+                self.decisions.set_closed(host.id, False)
 
     def start(self) -> None:
         if self.tls is not None:
@@ -179,7 +179,7 @@
             self._start_watch(self.watch)
         self.decisions.start()
         self.connections.start()
-        self.decisions.list(api.ListMode.RESTORED, self.config.known)
+        self.decisions.update_list(api.ListMode.RESTORED, self.config.known)
         self.checks.start()
         with naming(self.key, self.config.listen):
             self.listener = Listener(
@@ -192,7 +192,7 @@
         return Watch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text))
 
     def _told(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
-        self.decisions.list(mode, hosts)
+        self.decisions.update_list(mode, hosts)
         if mode is not api.ListMode.UNAVAILABLE:
             self.heard.set()
 
@@ -225,7 +225,7 @@
                 self.watch.stop()
                 self.watch = None
             # Nobody else tells of changes: the file's list is the cluster.
-            self.decisions.list(api.ListMode.COMPLETE, config.known)
+            self.decisions.update_list(api.ListMode.COMPLETE, config.known)
         elif self.watch is None:
             self.watch = self._make_watch(config.discovery, None)
             self._start_watch(self.watch)
@@ -268,7 +268,7 @@
     # The observer of standing connections.
 
     def _note(self, standing: Standing, kind: api.NoteKind, value: float) -> None:
-        self.decisions.tell(api.Note(standing.id, 0, standing.host, kind, value))
+        self.decisions.handle_event(api.Note(standing.id, 0, standing.host, kind, value))
 
     def load(self, standing: Standing, value: float) -> None:
         self._note(standing, api.NoteKind.LOAD, value)
@@ -291,11 +291,11 @@
 
     def host_drains(self, name: str) -> None:
         """An upstream host's own word that it drains counts like discovery's."""
-        if self.decisions.drains(name):
+        if self.decisions.mark_draining(name):
             self.counters.add("told_draining_by_host")
 
     def checked(self, name: str, opinion: Opinion) -> None:
-        if self.decisions.opine(name, opinion.takes_work, opinion.share):
+        if self.decisions.apply_check(name, opinion.takes_work, opinion.share):
             self.counters.add("checks_changed_a_host")
             self.log.info("check", host=name, takes_work=opinion.takes_work, share=opinion.share)
 
@@ -381,7 +381,7 @@
             if self.stopped.wait(LOOK_AGAIN.total_seconds()):
                 return
             if nats.drains_no_more(self._dial, host, self.config.probe_within):
-                self.decisions.opine(name, takes_work=True)
+                self.decisions.apply_check(name, takes_work=True)
                 break
         self._watched.discard(name)
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from bramblestile.clock import MICROSECOND
-from bramblestile.memory.decisions import reason
+from bramblestile.memory.decisions import move_reason
 from bramblestile.trace.recorder import RecordBuilder
 from bramblestile.trace.records import Record
 from vanegw import interface as api
@@ -163,7 +163,7 @@
         elif isinstance(action, api.Fail):
             self.record_answer(client, "failed")
         elif isinstance(action, api.Move) and client.host is not None:
-            self.builder.moved(self.clock(), action.id, client.host.name, reason(event))
+            self.builder.moved(self.clock(), action.id, client.host.name, move_reason(event))
             self.schedule(2_000, "ended", (client, "cancelled", True))
 
     def record_answer(self, client: Client, outcome: str, host: str | None = None, wait_us: int | None = None) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -226,7 +226,9 @@
         host = self.front.cluster.find(name) or self.front.config.known[int(name[1:])]
         started_at = now() if state == "cold" else host.started_at
         word = "running" if state == "cold" else state
-        self.front.decisions.list(api.ListMode.CHANGES, (replace(host, state=api.State(word), started_at=started_at),))
+        self.front.decisions.update_list(
+            api.ListMode.CHANGES, (replace(host, state=api.State(word), started_at=started_at),)
+        )
 
     def peer(self, actor: str) -> Peer:
         if actor not in self.peers:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -165,7 +165,7 @@
     """Both fronts: the host goes out while the request waits for its answer elsewhere; nothing more reaches it."""
     stage = Stage(wire, hosts=2, try_limit=6)
     cluster = stage.front.cluster
-    stage.front.decisions.relist(cluster.apply_orders({"b0"}, {}))
+    stage.front.decisions.refresh_hosts(cluster.apply_orders({"b0"}, {}))
     stage.play("c1 ask\n b1 taken\n b1 up\n c1 served\n b0 idle\n c2 ask\n b1 accept\n b1 taken\n b1 full\n b0 idle")
 
 
