--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -14,32 +14,39 @@
 from datetime import timedelta
 from pathlib import Path
 
-from bramblestile.lab.faults import Fault, anywhere
-from bramblestile.lab.stage import Stage
+from bramblestile.lab.faults import Fault, every_link
+from bramblestile.lab.harness import FleetHarness
 
 IDLE = 20.0  # seconds
 
 
-def measured(stage: Stage, span: float) -> tuple[float, float, float]:
+def measured(harness: FleetHarness, span: float) -> tuple[float, float, float]:
     """Bytes, datagrams and CPU milliseconds, a second and member."""
-    running = [stage.programs[name] for name in stage.running()]
-    before = stage.switch.bytes, stage.switch.passed, sum(p.cpu() for p in running), time.monotonic()
+    running = [harness.processes[name] for name in harness.running()]
+    before = (
+        harness.datagram_proxy.forwarded_bytes,
+        harness.datagram_proxy.forwarded,
+        sum(p.cpu_time_s() for p in running),
+        time.monotonic(),
+    )
     time.sleep(span)
     took = (time.monotonic() - before[3]) * len(running)
     return (
-        (stage.switch.bytes - before[0]) / took,
-        (stage.switch.passed - before[1]) / took,
-        (sum(p.cpu() for p in running) - before[2]) * 1000 / took,
+        (harness.datagram_proxy.forwarded_bytes - before[0]) / took,
+        (harness.datagram_proxy.forwarded - before[1]) / took,
+        (sum(p.cpu_time_s() for p in running) - before[2]) * 1000 / took,
     )
 
 
-def killed(stage: Stage, name: str) -> str:
-    began = stage.record.now()
-    stage.programs[name].kill()
-    others = len(stage.running())
-    stage.record.wait(lambda: len(stage.told("dead", began, name)) >= others, timedelta(seconds=15))
-    took = sorted(e["at"] - began for e in stage.told("dead", began, name))
-    wrong = [e for e in stage.told("dead", began) if e["member"] != name]
+def killed(harness: FleetHarness, name: str) -> str:
+    began = harness.event_log.now()
+    harness.processes[name].kill()
+    others = len(harness.running())
+    harness.event_log.wait_until(
+        lambda: len(harness.membership_events("dead", began, name)) >= others, timedelta(seconds=15)
+    )
+    took = sorted(e["at"] - began for e in harness.membership_events("dead", began, name))
+    wrong = [e for e in harness.membership_events("dead", began) if e["member"] != name]
     part = took[max(0, -(-99 * len(took) // 100) - 1)] if took else float("nan")
     return (
         f"  {name} killed: told by {len(took)} of {others}, first {took[0] if took else 0:.2f} s, "
@@ -47,22 +54,22 @@
     )
 
 
-def soak(stage: Stage, span: float, starved: int) -> str:
-    began = stage.record.now()
-    stage.put("loss", Fault(anywhere, loss=0.05), loss=0.05)
-    for name in stage.running()[10 : 10 + starved]:
-        stage.programs[name].starve(0.1)
+def soak(harness: FleetHarness, span: float, starved: int) -> str:
+    began = harness.event_log.now()
+    harness.inject_fault("loss", Fault(every_link, loss=0.05), loss=0.05)
+    for name in harness.running()[10 : 10 + starved]:
+        harness.processes[name].throttle(0.1)
     time.sleep(span)
-    dead, suspected = stage.told("dead", began), 0
-    for name in stage.running():
-        suspected += stage.fleet(name).get("counts", {}).get("refuted", 0)
-    for program in stage.programs.values():
-        program.feed()
-    stage.lift("loss")
-    all_ = stage.switch.lost + stage.switch.passed
+    dead, suspected = harness.membership_events("dead", began), 0
+    for name in harness.running():
+        suspected += harness.fleet_view(name).get("counts", {}).get("refuted", 0)
+    for program in harness.processes.values():
+        program.unthrottle()
+    harness.remove_fault("loss")
+    all_ = harness.datagram_proxy.dropped + harness.datagram_proxy.forwarded
     return (
         f"  {span:.0f} s with 5% loss, {starved} members at a tenth of a core: told dead {len(dead)} times, "
-        f"suspicions contradicted {suspected}; {stage.switch.lost} of {all_} datagrams lost"
+        f"suspicions contradicted {suspected}; {harness.datagram_proxy.dropped} of {all_} datagrams lost"
     )
 
 
@@ -75,28 +82,29 @@
     given = parser.parse_args()
     sizes = [int(size) for size in given.sizes.split(",")]
     for size in sizes:
-        with tempfile.TemporaryDirectory() as folder, Stage(Path(folder), size, fleet={}) as stage:
-            stage.start()
-            joined = stage.agree(within=timedelta(seconds=60))
+        with tempfile.TemporaryDirectory() as folder, FleetHarness(Path(folder), size, fleet={}) as harness:
+            harness.start()
+            joined = harness.wait_for_agreement(timeout=timedelta(seconds=60))
             time.sleep(15)  # until the news of the joining has died down
-            sent, count, cpu = measured(stage, IDLE)
-            memory = max(program.memory() for program in stage.programs.values())
+            sent, count, cpu = measured(harness, IDLE)
+            memory = max(program.resident_memory_kb() for program in harness.processes.values())
             print(
                 f"{size} members: of one mind {joined:.1f} s after the last start; idle, a second and member: "
                 f"{sent:.0f} bytes, {count:.1f} datagrams, {cpu:.2f} ms CPU; {memory} KB",
                 flush=True,
             )
-            for name in stage.names[5 : 5 + given.kills]:
-                print(killed(stage, name), flush=True)
+            for name in harness.names[5 : 5 + given.kills]:
+                print(killed(harness, name), flush=True)
             if size == max(sizes) and given.soak:
-                print(soak(stage, given.soak, given.starved), flush=True)
-    with tempfile.TemporaryDirectory() as folder, Stage(Path(folder), 20) as stage:
-        stage.start()
-        stage.wait(
-            lambda: all(stage.call(name, "GET", "/v1/readyz")[0] == 200 for name in stage.names), timedelta(seconds=20)
+                print(soak(harness, given.soak, given.starved), flush=True)
+    with tempfile.TemporaryDirectory() as folder, FleetHarness(Path(folder), 20) as harness:
+        harness.start()
+        harness.wait(
+            lambda: all(harness.call(name, "GET", "/v1/readyz")[0] == 200 for name in harness.names),
+            timedelta(seconds=20),
         )
-        _, _, cpu = measured(stage, IDLE)
-        memory = max(program.memory() for program in stage.programs.values())
+        _, _, cpu = measured(harness, IDLE)
+        memory = max(program.resident_memory_kb() for program in harness.processes.values())
         print(f"20 without a fleet table: {cpu:.2f} ms CPU a second each; {memory} KB")
 
 
--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -16,10 +16,10 @@
 from datetime import timedelta
 from pathlib import Path
 
-from bramblestile.lab.faults import Fault, split
-from bramblestile.lab.maintenance_driver import MaintenanceDriver, town_of
-from bramblestile.lab.stage import SETTINGS, Stage
-from bramblestile.lab.town import Town
+from bramblestile.lab.faults import Fault, partition
+from bramblestile.lab.harness import DEFAULT_SETTINGS, FleetHarness
+from bramblestile.lab.maintenance_driver import MaintenanceDriver, stand_ins_of
+from bramblestile.lab.stand_ins import StandIns
 from bramblestile.work.planner import MAX_UTILISATION, WARM_THRESHOLD
 
 COLD_S, DOWNTIME_S = 4.0, 0.5
@@ -49,19 +49,19 @@
     return now + out + warm
 
 
-def restart_at_interval(town: Town, interval_s: float) -> None:
+def restart_at_interval(stand_ins: StandIns, interval_s: float) -> None:
     """Restart the servers as a script would: list each as draining, restart it a second later, and go on."""
 
     def restart_server(name: str) -> None:
-        host = town.hosts[name]
+        host = stand_ins.servers[name]
         host.health = "terminating"
-        town.tell()
+        stand_ins.publish_list()
         time.sleep(1.0)
         host.health = "in_service"
-        town.do(town.restart(name, DOWNTIME_S))
+        stand_ins.run(stand_ins.restart_server(name, DOWNTIME_S))
 
     threads = []
-    for name in town.hosts:
+    for name in stand_ins.servers:
         threads.append(threading.Thread(target=restart_server, args=(name,)))
         threads[-1].start()
         time.sleep(interval_s)
@@ -69,19 +69,19 @@
         thread.join()
 
 
-def inject_faults(stage: Stage, driver: MaintenanceDriver) -> None:
+def inject_faults(harness: FleetHarness, driver: MaintenanceDriver) -> None:
     """When a third of the servers are done, kill three that wait and cut off a hall of balancers for 5 s."""
-    town = town_of(stage)
-    driver.wait(lambda: sum(s == "done" for s in driver.stages.values()) >= len(town.hosts) // 3, 600)
-    killed = [n for n in town.hosts if driver.stages.get(n) == "waiting"][-3:]
+    stand_ins = stand_ins_of(harness)
+    driver.wait(lambda: sum(s == "done" for s in driver.stages.values()) >= len(stand_ins.servers) // 3, 600)
+    killed = [n for n in stand_ins.servers if driver.stages.get(n) == "waiting"][-3:]
     for name in killed:
-        town.do(town.kill(name))
-    hall = [name for n, name in enumerate(stage.names) if n % 2]
-    stage.put("hall", Fault(split(hall), loss=1))
+        stand_ins.run(stand_ins.kill_server(name))
+    hall = [name for n, name in enumerate(harness.names) if n % 2]
+    harness.inject_fault("hall", Fault(partition(hall), loss=1))
     time.sleep(5)
-    stage.lift("hall")
+    harness.remove_fault("hall")
     for name in killed:
-        town.do(town.restart(name))
+        stand_ins.run(stand_ins.restart_server(name))
 
 
 def main() -> None:
@@ -98,10 +98,10 @@
     parser.add_argument("--baseline", type=float, default=0.0)
     parser.add_argument("--keep", action="store_true", help="show when each machine reached each stage")
     options = parser.parse_args()
-    settings = {"rules": SETTINGS["rules"] | {"cold_us": int(COLD_S * 1e6)}}
+    settings = {"rules": DEFAULT_SETTINGS["rules"] | {"cold_us": int(COLD_S * 1e6)}}
     with (
         tempfile.TemporaryDirectory() as folder,
-        Stage(
+        FleetHarness(
             Path(folder),
             options.balancers,
             fleet={},
@@ -110,27 +110,27 @@
             settings=settings,
             slots=options.slots,
             cold_s=COLD_S,
-        ) as stage,
+        ) as harness,
     ):
-        stage.start()
-        stage.agree(within=60 * S)
-        town, driver = town_of(stage), MaintenanceDriver(stage, options.most, DOWNTIME_S)
+        harness.start()
+        harness.wait_for_agreement(timeout=60 * S)
+        stand_ins, driver = stand_ins_of(harness), MaintenanceDriver(harness, options.most, DOWNTIME_S)
         driver.wait_for_roster()
         clients = int(options.servers * options.slots * options.load)
-        town.come(clients, 4.0)
-        stage.wait(lambda: town.figures()["up"] == clients, 30 * S)
+        stand_ins.add_clients(clients, 4.0)
+        harness.wait(lambda: stand_ins.client_totals()["up"] == clients, 30 * S)
         time.sleep(3)
-        before, began = town.figures(), time.monotonic()
+        before, began = stand_ins.client_totals(), time.monotonic()
         if options.baseline:
-            restart_at_interval(town, options.baseline)
+            restart_at_interval(stand_ins, options.baseline)
         else:
             driver.start_plan(least_capacity=options.least)
             if options.faults:
-                threading.Thread(target=inject_faults, args=(stage, driver), daemon=True).start()
+                threading.Thread(target=inject_faults, args=(harness, driver), daemon=True).start()
             driver.final_counts(options.within)
         duration_s = time.monotonic() - began
-        stage.wait(lambda: town.figures()["up"] == clients, 30 * S)
-        after = town.figures()
+        harness.wait(lambda: stand_ins.client_totals()["up"] == clients, 30 * S)
+        after = stand_ins.client_totals()
         driver.stop()
     change = {key: after[key] - before[key] for key in after}
     name = f"fixed interval {options.baseline} s" if options.baseline else f"maintenance plan, {options.most} at once"
@@ -141,7 +141,7 @@
         f"{change['cuts']:.0f} cut, {change['refused']:.0f} refused, {change['failed']:.0f} failed; "
         f"without a connection {change['down_s']:.0f} s, "
         f"{change['down_s'] / max(0.01, change['paused_s']):.3f} of their own pauses; "
-        f"fallen over: {sum(host.fallen for host in town.hosts.values())}",
+        f"fallen over: {sum(host.crashed for host in stand_ins.servers.values())}",
         flush=True,
     )
     max_missing = options.servers * min(1 - options.least, 1 - options.load / MAX_UTILISATION)
--- a/bramblestile/cli/lab.py
+++ b/bramblestile/cli/lab.py
@@ -1,4 +1,4 @@
-"""``bramblestile lab``: many processes of the program on loopback, faults between them, and whether all held."""
+"""``bramblestile lab``: run scripts with many balancer processes on loopback and faults between them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @click.group("lab")
 def group() -> None:
-    """Play many processes of the program with faults between them, all on loopback."""
+    """Run many balancer processes with faults between them, all on loopback."""
 
 
 @group.command()
@@ -20,17 +20,16 @@
 @click.option(
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
-    help="For the record, the configurations "
-    "and the page; a new one below the system's folder for such where none is named.",
+    help="Where the event log, the configurations and the page go; a new temporary folder by default.",
 )
 @click.option("--page", is_flag=True, help="Draw a page of plots (needs matplotlib).")
 def run(file: Path, folder: Path | None, page: bool) -> None:
-    """Play FILE, a script in TOML, and say whether what it wants has held.
+    """Run FILE, a script in TOML, and report whether its expectations were met.
 
-    Exit 0: all held; 1: not all, or it could not be played; 2: wrong usage.
+    Exit 0: all were met; 1: some were not, or the script could not be run; 2: wrong usage.
     """
     try:
-        from bramblestile.lab import play, script
+        from bramblestile.lab import runner, script
 
         if page:
             from bramblestile.lab.page import draw
@@ -39,20 +38,20 @@
             f"lab: needs the extras 'tools' and, for a page, 'plots' of this package ({error.name} is not installed)"
         ) from None
     try:
-        made = script.parse(file.read_text())
+        parsed_script = script.parse(file.read_text())
     except (OSError, UnicodeDecodeError, script.ScriptError) as error:
         raise Failed(f"{file}: {error}") from None
-    where = folder or Path(tempfile.mkdtemp(prefix="bramblestile-lab-"))
-    played = play.play(made, where)
-    for key, value in played.figures.items():
+    run_folder = folder or Path(tempfile.mkdtemp(prefix="bramblestile-lab-"))
+    result = runner.run_script(parsed_script, run_folder)
+    for key, value in result.metrics.items():
         click.echo(f"{key:18} {value:.6g}")
-    for label, times in (("first line to UP", played.waits), ("no connection", played.gaps)):
+    for label, times in (("first line to UP", result.connect_times), ("no connection", result.outages)):
         if times is not None and times.get_total_count():
-            told = " ".join(f"{p:g}%: {times.get_value_at_percentile(p)}" for p in (50, 90, 99, 100))
-            click.echo(f"{label:18} {told} ms")
+            percentiles = " ".join(f"{p:g}%: {times.get_value_at_percentile(p)}" for p in (50, 90, 99, 100))
+            click.echo(f"{label:18} {percentiles} ms")
     if page:
-        draw(played, where / "page.png")
-    click.echo(f"record in {where}")
-    if played.wrong:
-        raise Failed(f"{made.name}: " + "; ".join(played.wrong))
-    click.echo(f"{made.name}: all held")
+        draw(result, run_folder / "page.png")
+    click.echo(f"event log in {run_folder}")
+    if result.violations:
+        raise Failed(f"{parsed_script.name}: " + "; ".join(result.violations))
+    click.echo(f"{parsed_script.name}: all expectations met")
--- a/bramblestile/lab/__init__.py
+++ b/bramblestile/lab/__init__.py
@@ -1,2 +1,4 @@
-"""The project's laboratory: the parts of a fleet in simulated time, and real processes with faults between them. Loaded
-only by its commands, benchmarks and tests."""
+"""Test beds for a fleet: its parts in simulated time, and real processes with faults injected between them.
+
+Loaded only by the ``lab`` commands, the benchmarks and the tests.
+"""
--- a/bramblestile/lab/faults.py
+++ b/bramblestile/lab/faults.py
@@ -1,4 +1,7 @@
-"""What a link does to what goes over it. No I/O: a fault is a rule on (from, to)."""
+"""Faults on links: loss, duplication, delay, jitter, reordering and partitions. No I/O.
+
+A fault is a rule on the names of both ends of a link.
+"""
 
 from __future__ import annotations
 
@@ -9,70 +12,88 @@
 
 from bramblestile.clock import ZERO_DURATION
 
-Between = Callable[[str, str], bool]
+LinkPredicate = Callable[[str, str], bool]  # whether a fault affects the link from the first name to the second
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """``late``: the part of pieces that is held back by ``by`` more, which reorders them."""
-
-    between: Between
+    """The effect of a fault on the links that it affects.
+
+    Attributes:
+        matches: Selects the links.
+        loss: Probability that a datagram is lost; from 1 on, streams stall as well.
+        duplication: Probability that a datagram is delivered twice.
+        delay: Added to the delivery time.
+        jitter: Upper bound of a uniformly distributed further delay.
+        reordering: Probability that a datagram is held back by ``reordering_delay``, so that later ones overtake it.
+        reordering_delay: How long a reordered datagram is held back.
+    """
+
+    matches: LinkPredicate
     loss: float = 0.0
-    doubled: float = 0.0
+    duplication: float = 0.0
     delay: timedelta = ZERO_DURATION
     jitter: timedelta = ZERO_DURATION
-    late: float = 0.0
-    by: timedelta = ZERO_DURATION
+    reordering: float = 0.0
+    reordering_delay: timedelta = ZERO_DURATION
 
 
-def split(group: Collection[str]) -> Between:
-    """Neither side hears the other."""
+def partition(group: Collection[str]) -> LinkPredicate:
+    """Match links between the group and all others, in both directions."""
     names = frozenset(group)
-    return lambda a, b: (a in names) != (b in names)
+    return lambda source, target: (source in names) != (target in names)
 
 
-def out_of(group: Collection[str]) -> Between:
+def outbound(group: Collection[str]) -> LinkPredicate:
+    """Match links from the group to all others."""
     names = frozenset(group)
-    return lambda a, b: a in names and b not in names
+    return lambda source, target: source in names and target not in names
 
 
-def into(group: Collection[str]) -> Between:
+def inbound(group: Collection[str]) -> LinkPredicate:
+    """Match links from all others to the group."""
     names = frozenset(group)
-    return lambda a, b: b in names and a not in names
+    return lambda source, target: target in names and source not in names
 
 
-def anywhere(_: str, __: str) -> bool:
+def every_link(_source: str, _target: str) -> bool:
+    """Match every link."""
     return True
 
 
 @dataclass(slots=True)
-class Links:
-    """Faults by name, so that each can be lifted. Asked from several threads: a change puts a new table in place."""
+class LinkFaults:
+    """The faults in effect, by name.
+
+    Several threads read them without a lock: each change replaces the whole table.
+    """
 
     random: Random
     faults: dict[str, Fault] = field(default_factory=dict)
 
-    def put(self, name: str, fault: Fault) -> None:
+    def add(self, name: str, fault: Fault) -> None:
+        """Put a fault into effect; replaces the one of the same name."""
         self.faults = self.faults | {name: fault}
 
-    def lift(self, name: str) -> None:
-        self.faults = {n: f for n, f in self.faults.items() if n != name}
+    def remove(self, name: str) -> None:
+        """End a fault; does nothing for an unknown name."""
+        self.faults = {other: fault for other, fault in self.faults.items() if other != name}
 
-    def copies(self, source: str, target: str) -> list[timedelta]:
-        """When each copy of a piece arrives, from now; none where it is lost."""
+    def delivery_delays(self, source: str, target: str) -> list[timedelta]:
+        """Return the delay of each copy of a datagram sent now; empty if it is lost."""
         draw = self.random.random
-        after, count = ZERO_DURATION, 1
+        delay, count = ZERO_DURATION, 1
         for fault in self.faults.values():
-            if not fault.between(source, target):
+            if not fault.matches(source, target):
                 continue
             if fault.loss and draw() < fault.loss:
                 return []
-            count += draw() < fault.doubled
-            after += fault.delay + fault.jitter * draw()
-            if fault.late and draw() < fault.late:
-                after += fault.by
-        return [after] * count
-
-    def silent(self, source: str, target: str) -> bool:
-        """Nothing passes: a stream stalls, as its bytes are sent again until it does."""
-        return any(f.loss >= 1 and f.between(source, target) for f in self.faults.values())
+            count += draw() < fault.duplication
+            delay += fault.delay + fault.jitter * draw()
+            if fault.reordering and draw() < fault.reordering:
+                delay += fault.reordering_delay
+        return [delay] * count
+
+    def blocks(self, source: str, target: str) -> bool:
+        """Whether everything on the link is lost; a stream stalls then, as TCP retransmits until the fault ends."""
+        return any(fault.loss >= 1 and fault.matches(source, target) for fault in self.faults.values())
--- a/bramblestile/lab/maintenance_driver.py
+++ b/bramblestile/lab/maintenance_driver.py
@@ -15,8 +15,8 @@
 from datetime import timedelta
 from typing import Any
 
-from bramblestile.lab.stage import FailedError, Stage
-from bramblestile.lab.town import Town
+from bramblestile.lab.harness import FleetHarness, HarnessError
+from bramblestile.lab.stand_ins import StandIns
 from bramblestile.work.plan import BALANCER_PREFIX
 
 POLL_INTERVAL_S = 0.05
@@ -31,9 +31,11 @@
     ``reached`` the time, machine and stage of each change.
     """
 
-    def __init__(self, stage: Stage, max_out: int = 1, downtime_s: float = 0.3, never_done: Iterable[str] = ()) -> None:
-        assert stage.town is not None
-        self.stage, self.town, self.max_out, self.downtime_s = stage, stage.town, max_out, downtime_s
+    def __init__(
+        self, harness: FleetHarness, max_out: int = 1, downtime_s: float = 0.3, never_done: Iterable[str] = ()
+    ) -> None:
+        assert harness.stand_ins is not None
+        self.harness, self.stand_ins, self.max_out, self.downtime_s = harness, harness.stand_ins, max_out, downtime_s
         self.never_done = set(never_done)
         self.violations: list[str] = []
         self.progress: dict[str, Any] = {}
@@ -53,7 +55,7 @@
 
     def plan_file(self, machines: Iterable[str] | None = None, **overrides: Any) -> bytes:
         """Return a plan file for these machines, or for all image servers; ``overrides`` are further keys of it."""
-        chosen = {} if "balancers" in overrides else {"machines": list(machines or self.town.hosts)}
+        chosen = {} if "balancers" in overrides else {"machines": list(machines or self.stand_ins.servers)}
         values: dict[str, Any] = {
             **chosen,
             "reason": "new disks",
@@ -67,8 +69,8 @@
     def call_once(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
         """Call the management API at the balancers that take part, until one answers with something else than 503."""
         answer = 0, "no balancer answers"
-        for name in reversed([n for n, p in self.stage.programs.items() if p.serves and "work" in p.config]):
-            answer = self.stage.call(name, method, "/v1/work" + path, body)
+        for name in reversed([n for n, p in self.harness.processes.items() if p.is_serving and "work" in p.config]):
+            answer = self.harness.call(name, method, "/v1/work" + path, body)
             if answer[0] not in (0, 503):
                 break
         return answer
@@ -83,22 +85,22 @@
             if answer[0] == 409:
                 break
             time.sleep(0.1)
-        raise FailedError(f"{path}: {answer[0]} {answer[1]}")
+        raise HarnessError(f"{path}: {answer[0]} {answer[1]}")
 
     def start_plan(self, machines: Iterable[str] | None = None, **overrides: Any) -> None:
         """Start a plan. A start that is not committed in time may still take effect, so a refusal is checked."""
         try:
             self.call_until_accepted("/start", self.plan_file(machines, **overrides))
-        except FailedError:
+        except HarnessError:
             self.wait(lambda: self.progress.get("status") == "running", 10)
 
     def wait_for_roster(self) -> None:
         """Wait until every running balancer takes part."""
-        self.wait(lambda: set(self.progress.get("roster", ())) >= set(self.stage.running()), 20)
+        self.wait(lambda: set(self.progress.get("roster", ())) >= set(self.harness.running()), 20)
 
     def wait(self, condition: Any, timeout_s: float) -> None:
         """Wait until a condition holds; raises FailedError after ``timeout_s``."""
-        self.stage.wait(
+        self.harness.wait(
             condition, timedelta(seconds=timeout_s), lambda: f"{self.violations} {str(self.progress)[:1500]}"
         )
 
@@ -118,7 +120,7 @@
         """Wait for the end of the plan; return the number of machines in each stage, or raise on a violation."""
         self.wait(lambda: self.progress.get("status") == "ended", timeout_s)
         if self.violations:
-            raise FailedError("; ".join(self.violations[:3]))
+            raise HarnessError("; ".join(self.violations[:3]))
         return Counter(self.stages.values())
 
     def _run(self) -> None:
@@ -135,7 +137,7 @@
             if self.stages.get(name) != stage:
                 self.stages[name] = stage
                 self.reached.append((time.time(), name, stage))
-                self.stage.record.add("stage", machine=name, stage=stage, why=machine["why"])
+                self.harness.event_log.add("stage", machine=name, stage=stage, why=machine["why"])
             in_progress += [name] if stage in IN_PROGRESS else []
             if stage == "out" and name not in self._in_work:
                 self._in_work.add(name)
@@ -147,34 +149,34 @@
 
     def _add_violation(self, text: str) -> None:
         self.violations.append(text)
-        self.stage.record.add("broken", text=text)
+        self.harness.event_log.add("broken", text=text)
 
     def _do_work(self, name: str) -> None:
         if name in self.never_done:
             return
         if name.startswith(BALANCER_PREFIX):
             self._stopped.wait(0.2)
-            self.stage.programs[name.removeprefix(BALANCER_PREFIX)].restart()
+            self.harness.processes[name.removeprefix(BALANCER_PREFIX)].restart()
         else:
             self._restart_server(name)
         while not self._stopped.is_set():
             status, said = self.call_once("PUT", f"/done/{name}")
             if status == 200 or self.stages.get(name) not in ("out", "held"):
                 return
-            self.stage.record.add("not done", machine=name, status=status, said=said)
+            self.harness.event_log.add("not done", machine=name, status=status, said=said)
             self._stopped.wait(0.2)
 
     def _restart_server(self, name: str) -> None:
-        host, since = self.town.hosts[name], time.time()
+        host, since = self.stand_ins.servers[name], time.time()
         self._stopped.wait(0.2)  # time for a balancer that would still send to do so
-        late = [t for t in host.first_lines if t > since]
+        late = [t for t in host.request_times if t > since]
         if late:
             self._add_violation(f"{name} is out, and {len(late)} first lines came")
-        self.connections_cut += len(host.open)
-        self.town.do(self.town.restart(name, self.downtime_s))
+        self.connections_cut += len(host.connections)
+        self.stand_ins.run(self.stand_ins.restart_server(name, self.downtime_s))
 
 
-def town_of(stage: Stage) -> Town:
-    """Return the stand-ins of a stage that has some."""
-    assert stage.town is not None
-    return stage.town
+def stand_ins_of(harness: FleetHarness) -> StandIns:
+    """Return the stand-ins of a harness that has some."""
+    assert harness.stand_ins is not None
+    return harness.stand_ins
--- a/bramblestile/lab/page.py
+++ b/bramblestile/lab/page.py
@@ -1,4 +1,4 @@
-"""A page of plots from a run's record: clients, machines, balancers and faults over the same time, and its times."""
+"""Plots of a run, drawn from its event log: clients, machines, balancers and faults on one time axis, and latencies."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from bramblestile.lab.play import Played
+from bramblestile.lab.runner import RunResult
 
 matplotlib.use("Agg")
-COLOURS = {
+STAGE_COLOURS = {
     "waiting": "#e8e8e8",
     "claimed": "#c9d7e8",
     "leaving": "#f2b134",
@@ -25,83 +25,103 @@
     "held": "#000000",
     "dropped": "#999999",
 }
-PERCENTS = (50, 75, 90, 95, 99, 99.9, 100)
+FAULT_COLOURS = {"paused": "#6fa8dc", "killed": "#b33951", "starved": "#f2b134", "fault": "#8e7cc3"}
+FAULT_ENDS = {"paused": "woken", "killed": "started", "starved": "fed", "fault": "lifted"}
+PERCENTILES = (50, 75, 90, 95, 99, 99.9, 100)
 
 
-def draw(played: Played, target: Path) -> None:
-    """Reads the record in the run's folder and writes a PNG."""
-    events = [json.loads(line) for line in (played.folder / "record.jsonl").read_text().splitlines()]
-    began = next((e["at"] for e in events if e["what"] == "play begins"), 0.0)
-    events = [{**e, "at": e["at"] - began} for e in events if e["at"] >= began]
+def draw(result: RunResult, target: Path) -> None:
+    """Draw the plots of a run into a PNG file, from the event log in the run's folder."""
+    events = [json.loads(line) for line in (result.folder / "record.jsonl").read_text().splitlines()]
+    started_s = next((e["at"] for e in events if e["what"] == "play begins"), 0.0)
+    events = [{**e, "at": e["at"] - started_s} for e in events if e["at"] >= started_s]
     figure = Figure(figsize=(12, 13), layout="constrained")
     axes = figure.subplots(4, 1, height_ratios=(2, 3, 3, 2))
-    figure.suptitle(f"{played.script.name}\n" + ("all held" if not played.wrong else "; ".join(played.wrong)[:160]))
-    _clients(axes[0], events)
-    _machines(axes[1], events)
-    _balancers(axes[2], events)
-    _times(axes[3], played)
+    figure.suptitle(
+        f"{result.script.name}\n"
+        + ("all expectations met" if not result.violations else "; ".join(result.violations)[:160])
+    )
+    _plot_clients(axes[0], events)
+    _plot_machines(axes[1], events)
+    _plot_faults(axes[2], events)
+    _plot_latencies(axes[3], result)
     for ax in axes[1:3]:
         ax.sharex(axes[0])
     figure.savefig(target, dpi=90)
 
 
-def _clients(ax: Axes, events: list[dict[str, Any]]) -> None:
-    looks = [e for e in events if e["what"] == "look"]
-    at = [e["at"] for e in looks]
-    ax.plot(at, [e["up"] for e in looks], label="clients with a connection")
+def _plot_clients(ax: Axes, events: list[dict[str, Any]]) -> None:
+    samples = [e for e in events if e["what"] == "look"]
+    times = [e["at"] for e in samples]
+    ax.plot(times, [e["up"] for e in samples], label="clients with a connection")
     for key in ("moves", "refused", "cuts", "failed"):
-        first = looks[0][key] if looks else 0
-        ax.plot(at, [e[key] - first for e in looks], label=f"{key} so far")
-    loads = [[v for v in e["loads"].values() if v >= 0] for e in looks]
-    beside = ax.twinx()
-    beside.plot(at, [max(row, default=0) for row in loads], color="#bbbbbb", lw=0.8)
-    beside.set_ylabel("fullest server (grey)")
+        first = samples[0][key] if samples else 0
+        ax.plot(times, [e[key] - first for e in samples], label=f"{key} so far")
+    loads = [[load for load in e["loads"].values() if load >= 0] for e in samples]
+    load_axis = ax.twinx()
+    load_axis.plot(times, [max(row, default=0) for row in loads], color="#bbbbbb", lw=0.8)
+    load_axis.set_ylabel("highest server load (grey)")
     ax.legend(loc="upper left", fontsize=8)
 
 
-def _machines(ax: Axes, events: list[dict[str, Any]]) -> None:
-    stages = [e for e in events if e["what"] == "stage"]
-    names = list(dict.fromkeys(e["machine"] for e in stages))
+def _plot_machines(ax: Axes, events: list[dict[str, Any]]) -> None:
+    """Draw a row for each machine of the plan, coloured by its stage."""
+    changes = [e for e in events if e["what"] == "stage"]
+    names = list(dict.fromkeys(e["machine"] for e in changes))
     end = events[-1]["at"] if events else 1.0
     for row, name in enumerate(names):
-        own = [e for e in stages if e["machine"] == name]
-        for one, after in zip(own, [*own[1:], {"at": end}], strict=True):
-            ax.barh(row, after["at"] - one["at"], left=one["at"], color=COLOURS[one["stage"]], height=0.9)
+        own_changes = [e for e in changes if e["machine"] == name]
+        for change, following in zip(own_changes, [*own_changes[1:], {"at": end}], strict=True):
+            ax.barh(
+                row,
+                following["at"] - change["at"],
+                left=change["at"],
+                color=STAGE_COLOURS[change["stage"]],
+                height=0.9,
+            )
     ax.set_yticks(range(len(names)), names, fontsize=6)
-    for stage, colour in COLOURS.items():
+    for stage, colour in STAGE_COLOURS.items():
         ax.barh(0, 0, color=colour, label=stage)
     if names:
         ax.legend(loc="upper right", fontsize=6, ncols=5)
 
 
-def _balancers(ax: Axes, events: list[dict[str, Any]]) -> None:
-    begin, stop = {"paused": "woken", "killed": "started", "starved": "fed", "fault": "lifted"}, 0.0
-    open_: dict[tuple[str, str], float] = {}
+def _plot_faults(ax: Axes, events: list[dict[str, Any]]) -> None:
+    """Draw a row for each balancer or fault, with a bar from the start of each fault to its end."""
+    last_s = 0.0
+    open_faults: dict[tuple[str, str], float] = {}
     rows: dict[str, int] = {}
-    colours = {"paused": "#6fa8dc", "killed": "#b33951", "starved": "#f2b134", "fault": "#8e7cc3"}
     for e in events:
-        stop = e["at"]
-        who = str(e.get("who") or e.get("name"))[:40]
-        if e["what"] in begin:
-            open_[e["what"], who] = e["at"]
-            rows.setdefault(who, len(rows))
-        for what, until in begin.items():
-            if e["what"] == until and (what, who) in open_:
-                since = open_.pop((what, who))
-                ax.barh(rows[who], e["at"] - since, left=since, color=colours[what], height=0.8)
-    for (what, who), since in open_.items():
-        ax.barh(rows[who], stop - since, left=since, color=colours[what], height=0.8)
+        last_s = e["at"]
+        subject = str(e.get("who") or e.get("name"))[:40]
+        if e["what"] in FAULT_ENDS:
+            open_faults[e["what"], subject] = e["at"]
+            rows.setdefault(subject, len(rows))
+        for kind, end in FAULT_ENDS.items():
+            if e["what"] == end and (kind, subject) in open_faults:
+                since = open_faults.pop((kind, subject))
+                ax.barh(rows[subject], e["at"] - since, left=since, color=FAULT_COLOURS[kind], height=0.8)
+    for (kind, subject), since in open_faults.items():
+        ax.barh(rows[subject], last_s - since, left=since, color=FAULT_COLOURS[kind], height=0.8)
     ax.set_yticks(list(rows.values()), list(rows), fontsize=6)
-    for what, colour in colours.items():
-        ax.barh(0, 0, color=colour, label=what)
+    for kind, colour in FAULT_COLOURS.items():
+        ax.barh(0, 0, color=colour, label=kind)
     ax.legend(loc="upper right", fontsize=6)
-    ax.set_xlabel("seconds since the play began")
+    ax.set_xlabel("seconds since the start of the run")
 
 
-def _times(ax: Axes, played: Played) -> None:
-    for made, label in ((played.waits, "from a client's first line to its UP"), (played.gaps, "without a connection")):
-        if made is not None and made.get_total_count():
-            ax.plot([str(p) for p in PERCENTS], [made.get_value_at_percentile(p) for p in PERCENTS], "o-", label=label)
+def _plot_latencies(ax: Axes, result: RunResult) -> None:
+    for histogram, label in (
+        (result.connect_times, "from a client's first line to its UP"),
+        (result.outages, "without a connection"),
+    ):
+        if histogram is not None and histogram.get_total_count():
+            ax.plot(
+                [str(p) for p in PERCENTILES],
+                [histogram.get_value_at_percentile(p) for p in PERCENTILES],
+                "o-",
+                label=label,
+            )
     ax.set_yscale("log")
     ax.set_ylabel("ms")
     ax.set_xlabel("percentile")
--- a/bramblestile/lab/processes.py
+++ b/bramblestile/lab/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: started, paused, starved, killed and started again, with what they log in the record."""
+"""Balancer processes that can be paused, throttled, killed and restarted, and whose log goes into the event log."""
 
 from __future__ import annotations
 
@@ -15,33 +15,42 @@
 from pathlib import Path
 from typing import Any
 
-from bramblestile.lab.record import Record
+from bramblestile.lab.event_log import EventLog
 
-TURN = 0.1  # seconds: of a starved process's share of its core
+THROTTLE_PERIOD_S = 0.1
+KILL_TIMEOUT_S = 10
+MAX_RAW_TEXT_LENGTH = 500  # characters of a line that is not a JSON object
+READ_SIZE_BYTES = 65536
+MAX_PARTIAL_LINE_BYTES = 65536
 
 
-class Program:
-    """One process of the program at a time, under one name."""
+class BalancerProcess:
+    """A named balancer, of which one process at a time runs.
+
+    ``config`` is written to the process's folder at each start, so that changes take effect at the next one. ``paused``
+    is whether the process was stopped by ``pause``. ``command`` replaces ``python -m bramblestile``.
+    """
 
     def __init__(
         self,
         name: str,
         folder: Path,
         config: dict[str, Any],
-        record: Record,
-        reader: Reader,
+        event_log: EventLog,
+        log_reader: LogReader,
         command: list[str] | None = None,
     ) -> None:
-        self.name, self.folder, self.config, self.record = name, folder, config, record
-        self._reader = reader
+        self.name, self.folder, self.config, self.event_log = name, folder, config, event_log
+        self._log_reader = log_reader
         self._command = command or [sys.executable, "-m", "bramblestile"]
         self.process: subprocess.Popen[bytes] | None = None
-        self._starving: threading.Event | None = None
+        self._throttle_ended: threading.Event | None = None
         self.paused = False
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "tmp").mkdir(exist_ok=True)
 
     def start(self) -> None:
+        """Start the process. Settings of this environment (``EDGE_``) don't reach it."""
         self.paused = False
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config))
@@ -50,93 +59,101 @@
             "EDGE_CONFIG": str(path),
             "TMPDIR": str(self.folder / "tmp"),
         }
-        # The other processes' pipes must not live on in this one.
+        # The new process must not inherit the other processes' pipes.
         self.process = subprocess.Popen(
             self._command, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL, env=environment, close_fds=True
         )
-        self._reader.follow(self.name, self.process)
-        self.record.add("started", who=self.name, pid=self.process.pid)
+        self._log_reader.follow(self.name, self.process)
+        self.event_log.add("started", who=self.name, pid=self.process.pid)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the process exists, paused or not."""
         return self.process is not None and self.process.poll() is None
 
     @property
-    def serves(self) -> bool:
-        return self.runs and not self.paused
+    def is_serving(self) -> bool:
+        """Whether the process runs and is not paused."""
+        return self.is_running and not self.paused
 
     def signal(self, number: int) -> None:
+        """Send a signal, if the process runs."""
         if self.process is not None and self.process.poll() is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     def pause(self) -> None:
+        """Stop the process with SIGSTOP until ``resume``."""
         self.paused = True
         self.signal(signal.SIGSTOP)
-        self.record.add("paused", who=self.name)
+        self.event_log.add("paused", who=self.name)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
+        """Continue a paused process."""
         self.paused = False
         self.signal(signal.SIGCONT)
-        self.record.add("woken", who=self.name)
+        self.event_log.add("woken", who=self.name)
 
     def kill(self) -> None:
-        self.feed()
+        """Kill the process and wait for its end."""
+        self.unthrottle()
         self.signal(signal.SIGKILL)
         if self.process is not None:
-            self.process.wait(10)
-        self.record.add("killed", who=self.name)
+            self.process.wait(KILL_TIMEOUT_S)
+        self.event_log.add("killed", who=self.name)
 
     def restart(self) -> None:
+        """Kill the process and start a new one."""
         self.kill()
         self.start()
 
-    def starve(self, share: float) -> None:
-        """Runs for this part of each ``TURN`` only, until it is fed."""
-        self.feed()
-        ended = self._starving = threading.Event()
-        self.record.add("starved", who=self.name, share=share)
+    def throttle(self, share: float) -> None:
+        """Let the process run for this share of each ``THROTTLE_PERIOD_S`` only, until ``unthrottle``."""
+        self.unthrottle()
+        ended = self._throttle_ended = threading.Event()
+        self.event_log.add("starved", who=self.name, share=share)
 
         def run() -> None:
-            while not ended.wait(TURN * share):
+            while not ended.wait(THROTTLE_PERIOD_S * share):
                 self.signal(signal.SIGSTOP)
-                ended.wait(TURN * (1 - share))
+                ended.wait(THROTTLE_PERIOD_S * (1 - share))
                 self.signal(signal.SIGCONT)
 
         threading.Thread(target=run, name="starve " + self.name, daemon=True).start()
 
-    def feed(self) -> None:
-        if self._starving is not None:
-            self._starving.set()
-            self._starving = None
+    def unthrottle(self) -> None:
+        """End the throttling, if any."""
+        if self._throttle_ended is not None:
+            self._throttle_ended.set()
+            self._throttle_ended = None
             self.signal(signal.SIGCONT)
-            self.record.add("fed", who=self.name)
+            self.event_log.add("fed", who=self.name)
 
-    def stop(self, within: timedelta = timedelta(seconds=8)) -> int | None:
-        """SIGTERM, and its exit code; killed where it takes longer."""
-        self.feed()
+    def stop(self, timeout: timedelta = timedelta(seconds=8)) -> int | None:
+        """Stop the process with SIGTERM and return its exit code; None if it had to be killed or never ran."""
+        self.unthrottle()
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         if self.process is None:
             return None
         try:
-            return self.process.wait(within.total_seconds())
+            return self.process.wait(timeout.total_seconds())
         except subprocess.TimeoutExpired:
             self.kill()
             return None
 
-    def cpu(self) -> float:
-        """Seconds of processor time that the process has used."""
+    def cpu_time_s(self) -> float:
+        """Return the CPU time that the process has used, in seconds; 0 if unknown."""
         if self.process is None:
             return 0.0
         try:
-            fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+            stat_fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
             return 0.0
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+        return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def memory(self) -> int:
-        """KB that the process holds."""
+    def resident_memory_kb(self) -> int:
+        """Return the resident memory of the process, in KB; 0 if unknown."""
         if self.process is None:
             return 0
         with contextlib.suppress(OSError):
@@ -146,32 +163,37 @@
         return 0
 
 
-class Reader:
-    """Reads what all processes log, in one thread: a process whose pipe nobody reads would stand still."""
+class LogReader:
+    """Reads the logs of all processes into the event log, in one thread.
+
+    Every pipe must be read, as a process blocks when its pipe is full.
+    """
 
-    def __init__(self, record: Record) -> None:
-        self._record = record
+    def __init__(self, event_log: EventLog) -> None:
+        self._event_log = event_log
         self._selector = selectors.DefaultSelector()
-        self._held: dict[int, bytes] = {}
+        self._partial_lines: dict[int, bytes] = {}
         self._lock = threading.Lock()
-        self._new: list[tuple[str, subprocess.Popen[bytes]]] = []
+        self._unregistered: list[tuple[str, subprocess.Popen[bytes]]] = []
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="reader", daemon=True)
         self._thread.start()
 
     def follow(self, name: str, process: subprocess.Popen[bytes]) -> None:
+        """Read the stderr of a process until its end."""
         with self._lock:
-            self._new.append((name, process))
+            self._unregistered.append((name, process))
 
     def stop(self) -> None:
+        """Stop reading."""
         self._stopped = True
         self._thread.join(2)
 
     def _run(self) -> None:
         while not self._stopped:
             with self._lock:
-                fresh, self._new = self._new, []
-            for name, process in fresh:
+                new, self._unregistered = self._unregistered, []
+            for name, process in new:
                 assert process.stderr is not None
                 self._selector.register(process.stderr, selectors.EVENT_READ, name)
             if not self._selector.get_map():
@@ -181,21 +203,29 @@
                 self._read(key)
 
     def _read(self, key: selectors.SelectorKey) -> None:
-        got = os.read(key.fd, 65536)
-        if not got:
+        data = os.read(key.fd, READ_SIZE_BYTES)
+        if not data:
             self._selector.unregister(key.fileobj)
-            self._held.pop(key.fd, None)
+            self._partial_lines.pop(key.fd, None)
             return
-        *lines, rest = (self._held.get(key.fd, b"") + got).split(b"\n")
-        self._held[key.fd] = rest[-65536:]
+        *lines, rest = (self._partial_lines.get(key.fd, b"") + data).split(b"\n")
+        self._partial_lines[key.fd] = rest[-MAX_PARTIAL_LINE_BYTES:]
         for line in lines:
-            self._tell(key.data, line)
+            self._add_line(key.data, line)
 
-    def _tell(self, name: str, line: bytes) -> None:
+    def _add_line(self, name: str, line: bytes) -> None:
         try:
-            said = json.loads(line)
-            # Its log tells whole milliseconds, cut off: by their end it has happened, and never before what caused it.
-            at = min(time.time(), datetime.fromisoformat(said.pop("time")).timestamp() + 0.001)
-            self._record.add("said", at, who=name, **{k: v for k, v in said.items() if k not in ("at", "what", "who")})
+            log_entry = json.loads(line)
+            # Log times are truncated to milliseconds. The end of the millisecond is used, so that an event never seems
+            # to precede its cause.
+            timestamp = min(time.time(), datetime.fromisoformat(log_entry.pop("time")).timestamp() + 0.001)
+            self._event_log.add(
+                "said",
+                timestamp,
+                who=name,
+                **{key: value for key, value in log_entry.items() if key not in ("at", "what", "who")},
+            )
         except (ValueError, TypeError, KeyError, AttributeError):
-            self._record.add("said", who=name, event="raw", text=line.decode("utf-8", "replace")[:500])
+            self._event_log.add(
+                "said", who=name, event="raw", text=line.decode("utf-8", "replace")[:MAX_RAW_TEXT_LENGTH]
+            )
--- a/bramblestile/lab/streams.py
+++ b/bramblestile/lab/streams.py
@@ -9,7 +9,7 @@
 import asyncio
 from contextlib import suppress
 
-from bramblestile.lab.faults import Links
+from bramblestile.lab.faults import LinkFaults
 
 RETRY_INTERVAL_S = 0.02  # between two attempts to get through a link that loses everything
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        links: Links,
+        links: LinkFaults,
         stand_in: str,
         process: str,
         reader: asyncio.StreamReader,
@@ -37,9 +37,9 @@
 
     async def _cross(self, source: str, target: str) -> None:
         """Wait until bytes sent now have crossed the link."""
-        while not (copies := self._links.copies(source, target)):
+        while not (delays := self._links.delivery_delays(source, target)):
             await asyncio.sleep(RETRY_INTERVAL_S)
-        if delay := min(copies).total_seconds():
+        if delay := min(delays).total_seconds():
             await asyncio.sleep(delay)
 
     async def readline(self) -> bytes:
