--- a/bramblestile/cli/fleet.py
+++ b/bramblestile/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``bramblestile fleet``: who lives, as one balancer sees it."""
+"""``bramblestile fleet``: the members of the fleet and their states, as one balancer sees them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from bramblestile.cli.common import Failed
 from bramblestile.cli.ops import at_option, call
 
-LARGEST = 1 << 22  # bytes of an answer; a member takes some 200
+MAX_RESPONSE_BYTES = 1 << 22  # a member takes about 200 bytes
 
 
 @click.group("fleet")
@@ -19,41 +19,44 @@
 def group() -> None:
     """Show the fleet as one of its members sees it.
 
-    Exit 0: shown; 1: no answer, or this balancer is in no fleet; 2: wrong usage.
+    Exit 0: shown; 1: no answer, or the balancer belongs to no fleet; 2: wrong usage.
     """
 
 
-def asked(ctx: click.Context, part: str, path: str) -> Any:
-    """What the management address answers to a GET, read as JSON."""
-    said = call(ctx, part, "GET", path, most=LARGEST)
+def get_json(ctx: click.Context, part: str, path: str) -> Any:
+    """Return the parsed JSON response of the management API to a GET request.
+
+    Raises Failed if there is no successful response or it is not JSON; ``part`` is the command named in the message.
+    """
+    body = call(ctx, part, "GET", path, most=MAX_RESPONSE_BYTES)
     try:
-        return json.loads(said)
+        return json.loads(body)
     except ValueError as error:
         raise Failed(f"{part}: {error}") from None
 
 
 @group.command()
-@click.option("--json", "as_json", is_flag=True, help="As the balancer tells it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the balancer's JSON response.")
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
-    """Print all members: state, for how long, hall, version, share of the fleet's requests."""
-    got = asked(ctx, "fleet", "/v1/fleet")
+    """Print each member's state, its duration, share of the fleet's requests, hall, version and address."""
+    fleet = get_json(ctx, "fleet", "/v1/fleet")
     if as_json:
-        click.echo(json.dumps(got, indent=1))
+        click.echo(json.dumps(fleet, indent=1))
         return
-    rows = got["members"]
-    total = sum(row.get("traffic") or 0.0 for row in rows)
-    for row in rows:
-        share = f"{(row.get('traffic') or 0.0) / total:6.1%}" if total else "     -"
-        by = f"  doubted by {', '.join(row['by'])}" if row.get("by") else ""
+    members = fleet["members"]
+    total = sum(member.get("traffic") or 0.0 for member in members)
+    for member in members:
+        share = f"{(member.get('traffic') or 0.0) / total:6.1%}" if total else "     -"
+        accusers = f"  suspected by {', '.join(member['by'])}" if member.get("by") else ""
         click.echo(
-            f"{row['name']:20} {row['state']:8} {row['for_ms'] / 1000:8.1f} s  {share}  {row['hall']:12} "
-            f"{row['version']:10} {row['at']}{by}"
+            f"{member['name']:20} {member['state']:8} {member['for_ms'] / 1000:8.1f} s  {share}  {member['hall']:12} "
+            f"{member['version']:10} {member['at']}{accusers}"
         )
-    states = Counter(row["state"] for row in rows)
+    states = Counter(member["state"] for member in members)
     click.echo(
         ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
-        + f"; seen by {got['me']}, its own health {got['health']} of 8"
+        + f"; as seen by {fleet['me']}, whose local health score is {fleet['health']} of 8"
     )
-    if got["muted_by"]:
-        click.echo(f"silent: a later start at {got['muted_by']} holds the name {got['me']}")
+    if fleet["muted_by"]:
+        click.echo(f"muted: a process started later at {fleet['muted_by']} holds the name {fleet['me']}")
--- a/bramblestile/cli/work.py
+++ b/bramblestile/cli/work.py
@@ -10,7 +10,7 @@
 import click
 
 from bramblestile.cli.common import FILE, Failed
-from bramblestile.cli.fleet import LARGEST, asked
+from bramblestile.cli.fleet import MAX_RESPONSE_BYTES, get_json
 from bramblestile.cli.ops import at_option, call
 
 
@@ -24,7 +24,7 @@
 
 
 def _put(ctx: click.Context, path: str, body: bytes = b"") -> str:
-    return call(ctx, "work", "PUT", "/v1/work/" + path, body, LARGEST)
+    return call(ctx, "work", "PUT", "/v1/work/" + path, body, MAX_RESPONSE_BYTES)
 
 
 @group.command()
@@ -60,7 +60,7 @@
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
     """Show how far the plan has come, and what it waits for."""
-    got = asked(ctx, "work", "/v1/work")
+    got = get_json(ctx, "work", "/v1/work")
     if as_json:
         click.echo(json.dumps(got, indent=1))
         return
@@ -85,7 +85,7 @@
 @click.pass_context
 def history(ctx: click.Context) -> None:
     """Show the plans that have ended."""
-    for one in asked(ctx, "work", "/v1/work/history"):
+    for one in get_json(ctx, "work", "/v1/work/history"):
         click.echo(
             f"{one['id']}: {one['done']} of {one['machines']} done, {one['dropped']} dropped"
             f"{', aborted' if one['aborted'] else ''}; {one['reason']}"
