--- a/bramblestile/dialect.py
+++ b/bramblestile/dialect.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Standing
+from bramblestile.memory.connections import ProxiedConnection
 from bramblestile.sockets import Transport
 from vanegw.interface import Status
 
@@ -34,7 +34,7 @@
 class Up:
     """The upstream host has taken the connection; ``standing`` carries it to its end."""
 
-    standing: Standing
+    standing: ProxiedConnection
 
 
 @dataclass(slots=True, frozen=True)
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -13,7 +13,7 @@
 from bramblestile.dialect import Answer, Asked, Downstream, NotUp, Upstream
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster
-from bramblestile.memory.connections import Connections, Halt, Observer, Standing
+from bramblestile.memory.connections import ConnectionObserver, Connections, PauseSignal, ProxiedConnection
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import ActiveRequest, Decisions, from_microseconds, to_microseconds
 from bramblestile.tracing import TracerHandle
@@ -25,9 +25,9 @@
     """Another process of this balancer, which may take over what stands."""
 
     @property
-    def halt(self) -> Halt: ...
+    def pause_signal(self) -> PauseSignal: ...
 
-    def take(self, standing: Standing, request: api.Request) -> bool:
+    def take(self, standing: ProxiedConnection, request: api.Request) -> bool:
         """Whether it carries the frozen connection on from now on."""
 
 
@@ -40,7 +40,7 @@
         cluster: Cluster,
         connections: Connections,
         counters: Counters,
-        observer: Observer,
+        observer: ConnectionObserver,
         connect_within: timedelta,
         drains: Callable[[str], None],
         dial: Upstream,
@@ -175,7 +175,7 @@
 
 def _stand(
     house: House,
-    standing: Standing,
+    standing: ProxiedConnection,
     host: str,
     visit: ActiveRequest,
     told: _Told,
@@ -189,21 +189,21 @@
     house.tracing.current.established(at, standing.id, host, resumed)
 
 
-def _hold(house: House, standing: Standing, host: str, visit: ActiveRequest) -> None:
+def _hold(house: House, standing: ProxiedConnection, host: str, visit: ActiveRequest) -> None:
     standing.host = visit.host = host
     if house.heir is not None and isinstance(standing.upstream, socket.socket):
-        standing.halt = house.heir.halt
+        standing.pause_signal = house.heir.pause_signal
     house.connections.add(standing)
 
 
-def _carry(house: House, standing: Standing, began: timedelta, request: api.Request) -> Status:
+def _carry(house: House, standing: ProxiedConnection, began: timedelta, request: api.Request) -> Status:
     """From its stand, at ``began``, to its end here: that of the connection, or another process goes on with it."""
     try:
-        while (status := standing.carry(house.observer)) is None:
+        while (status := standing.forward(house.observer)) is None:
             if house.heir is not None and house.heir.take(standing, request):
-                standing.let_go()
+                standing.release()
                 break
-            standing.thaw()
+            standing.resume()
     finally:
         house.connections.remove(standing)
     ended = "handed_on" if status is None else status.name.lower()
@@ -213,7 +213,9 @@
     return status or Status.CANCELLED
 
 
-def adopt(house: House, standing: Standing, request: api.Request, run: Callable[[Callable[[], None]], None]) -> bool:
+def adopt(
+    house: House, standing: ProxiedConnection, request: api.Request, run: Callable[[Callable[[], None]], None]
+) -> bool:
     """Goes on with a connection that another process has carried, in a thread that ``run`` starts. False: not here."""
     visit = house.decisions.register(request.id, now())
     if visit is None:
@@ -238,7 +240,7 @@
     return True
 
 
-def _inherit(house: House, standing: Standing, request: api.Request, at: timedelta) -> None:
+def _inherit(house: House, standing: ProxiedConnection, request: api.Request, at: timedelta) -> None:
     """From its stand to its end: a connection that the module has not placed."""
     house.decisions.handle_event(api.Inherited(request, standing.host))
     status = _carry(house, standing, at, request)
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -1,4 +1,4 @@
-"""Standing connections: one thread per direction, moves between two messages, and who has gone mute."""
+"""Established connections: one thread per direction, moves between two messages, and detection of silent hosts."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 from bramblestile.clock import ZERO_DURATION, now
 from vanegw.interface import Status
 
-MOST = 8192  # bytes passed on at once
-MOST_ASKED = 64  # unanswered messages of one connection whose times are kept
-LAST_WORD = timedelta(seconds=1)  # after the downstream's end, for the upstream host to end too
-MOVE_BOUND = timedelta(milliseconds=500)  # a move waits so long for a message in passing to be whole
-WATCH_EVERY = timedelta(milliseconds=100)
-NOTED_FROM = timedelta(milliseconds=250)  # a shorter silence is no news
-NOTE_EVERY = timedelta(seconds=1)  # between two notes of one upstream host's delay
-ASK_EVERY = timedelta(seconds=2)  # the platform's clients send a line so often
-HALT_BOUND = timedelta(milliseconds=400)  # for the other direction to halt too: no line is held for over a second
+FORWARD_BUFFER_BYTES = 8192
+MAX_PENDING_QUERIES = 64  # unanswered messages of one connection whose times are kept
+HALF_CLOSE_TIMEOUT = timedelta(seconds=1)  # after the downstream's end, for the upstream host to end too
+MOVE_TIMEOUT = timedelta(milliseconds=500)  # how long a move waits for a message in transit to be complete
+WATCH_INTERVAL = timedelta(milliseconds=100)
+MIN_REPORTED_SILENCE = timedelta(milliseconds=250)
+DELAY_REPORT_INTERVAL = timedelta(seconds=1)  # minimum time between two reports of one host's delay
+QUERY_INTERVAL = timedelta(seconds=2)  # the platform's clients send a line at about this interval
+PAUSE_TIMEOUT = timedelta(milliseconds=400)  # for the other direction to pause; a line may be held up for 1 s at most
 
 
-class Kind(Enum):
-    """What a message passing through means to the balancer."""
+class MessageKind(Enum):
+    """What a forwarded message means to the balancer. The values are part of the handover between two processes."""
 
-    ANSWER = "answer"  # something came back
-    ASK = "ask"  # something is to come back
+    RESPONSE = "answer"
+    QUERY = "ask"  # a response is to follow
     LOAD = "load"
-    LAST = "last"  # served to its end
-    AWAY = "away"  # the upstream host sends its client away
-    DRAINS = "drains"  # the upstream host says that it drains
+    COMPLETION = "last"  # the connection was served to its end
+    SENT_AWAY = "away"  # the upstream host tells its client to move
+    DRAINING = "drains"  # the upstream host announces that it drains
     OTHER = "other"
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    kind: Kind
+    """A message that was forwarded. ``value`` is the load that a LOAD message reports."""
+
+    kind: MessageKind
     value: float = 0.0
 
 
-class ViolationError(Exception):
-    """A message that may not pass; ``reply`` tells the downstream why before its connection ends."""
+class ProtocolViolationError(Exception):
+    """A message that may not be forwarded. The downstream gets ``reply`` before its connection ends."""
 
     def __init__(self, reply: bytes) -> None:
         super().__init__(reply)
@@ -56,330 +58,360 @@
 
 
 class Framer(Protocol):
-    """Follows one direction. It never changes a byte; it knows where messages end and what they mean."""
+    """Finds the message boundaries in one direction of a connection, and what the messages mean.
+
+    It never changes a byte.
+    """
 
     def feed(self, data: memoryview) -> tuple[int, list[Message]]:
-        """How much of the data may go on now, and what messages ended in it."""
+        """Return how many bytes of the data may be forwarded now, and the messages that end within them."""
 
-    def between(self) -> bool:
-        """All that has gone on so far ends with a whole message."""
+    def at_boundary(self) -> bool:
+        """Return whether everything forwarded so far ends with a complete message."""
 
 
-class Observer(Protocol):
-    """Who hears of a standing connection's news."""
+class ConnectionObserver(Protocol):
+    """Receives news of established connections."""
 
-    def load(self, standing: Standing, value: float) -> None: ...
+    def on_load(self, connection: ProxiedConnection, value: float) -> None:
+        """Handle a load that the upstream host reported."""
 
-    def delay(self, standing: Standing, delay: timedelta) -> None: ...
+    def on_delay(self, connection: ProxiedConnection, delay: timedelta) -> None:
+        """Handle the time that a response took."""
 
-    def drains(self, standing: Standing) -> None: ...
+    def on_host_draining(self, connection: ProxiedConnection) -> None:
+        """Handle the upstream host's announcement that it drains."""
 
 
-class Halt:
-    """Once set, every standing connection that has it stops between two reads, so that another process may go on with
-    it: what lies unread in its sockets is that one's. The pipe wakes all threads at once; ending their reads by a
-    shutdown would end the connection for both."""
+class PauseSignal:
+    """Tells connections to pause between two reads, so that another process can take them over.
+
+    Unread input stays in the sockets for that process. A pipe wakes all threads at once, because shutting the sockets
+    down to end the reads would end the connection for both processes.
+    """
 
     def __init__(self) -> None:
         self._read, self._write = os.pipe()
         self._set = False
 
     def set(self) -> None:
+        """Set the signal, for good."""
         if not self._set:
             self._set = True
             os.close(self._write)
 
-    def beside(self, side: sockets.Transport) -> select.poll:
+    def poll_with(self, transport: sockets.Transport) -> select.poll:
+        """Return a poll object that waits for input on the transport or for the signal."""
         poll = select.poll()
-        poll.register(side, select.POLLIN)
+        poll.register(transport, select.POLLIN)
         poll.register(self._read, select.POLLIN)
         return poll
 
-    def woke(self, ready: list[tuple[int, int]]) -> bool:
+    def is_in(self, ready: list[tuple[int, int]]) -> bool:
+        """Return whether the signal is among the events that such a poll object returned."""
         return any(fd == self._read for fd, _ in ready)
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
-    """A connection that is up: its two sockets, and what is known of its end."""
+class ProxiedConnection:
+    """An established connection between a downstream and an upstream host, forwarded in both directions.
+
+    Two threads forward, one per direction. ``write_lock`` guards writes to the downstream, ``pause_lock`` the decision
+    whether a direction may still pause.
+    """
 
     id: str
     host: str
     downstream: socket.socket
     upstream: sockets.Transport
-    farewell: bytes  # what tells the downstream to move
+    move_message: bytes  # tells the downstream to move
     from_upstream: Framer
     from_downstream: Framer
-    first_up: bytes = b""  # read too early, to go on first
-    first_down: bytes = b""
-    asked: deque[timedelta] = field(default_factory=deque)  # when each unanswered message went up
-    answered: timedelta = ZERO_DURATION  # when something last came back
-    lock: threading.Lock = field(default_factory=threading.Lock)  # writes to the downstream
+    unsent_to_upstream: bytes = b""  # already read, to be forwarded first
+    unsent_to_downstream: bytes = b""
+    pending_queries: deque[timedelta] = field(default_factory=deque)  # when each unanswered message was forwarded
+    last_response: timedelta = ZERO_DURATION  # when the last response came
+    write_lock: threading.Lock = field(default_factory=threading.Lock)
     moved: bool = False
-    started: bool = False  # the downstream has its first answer: only then can it be told to move
-    move_wanted: bool = False
-    refused: bool = False  # the downstream broke its protocol and was told so
-    last: Kind = Kind.OTHER
-    reset_down: bool = False  # the downstream's side broke
-    reset_up: bool = False
-    left: bool = False  # the downstream ended first, in order
-    says_last: bool = True  # a host answers its client's end with a last word, while it is well
-    over: threading.Event = field(default_factory=threading.Event)
-    halt: Halt | None = None  # None: it is carried to its end here
-    halted_down: bool = False
-    halted_up: bool = False
-    frozen: bool = False  # nothing is read or written here any more, unless it is thawed
-    turn: threading.Lock = field(default_factory=threading.Lock)  # whether a direction still may halt
-
-    def carry(self, observer: Observer) -> Status | None:
-        """Passes all bytes on, both ways, until either side ends; ends the other in the same way. None: it was halted
-        and is frozen, both sockets being as they were; whoever goes on with it finds what was read in ``first_up`` and
-        ``first_down``."""
-        back = threading.Thread(target=self._pass_up, name="up " + self.id, daemon=True)
-        back.start()
+    started: bool = False  # the downstream has its first answer; before that it cannot be told to move
+    move_requested: bool = False  # the writer sends the move message after the current message
+    rejected: bool = False  # the downstream violated its protocol and was told so
+    last_kind: MessageKind = MessageKind.OTHER  # the last message from upstream
+    downstream_reset: bool = False  # the downstream's side broke
+    upstream_reset: bool = False
+    downstream_ended: bool = False  # the downstream ended first, in order
+    sends_completion: bool = True  # a healthy host answers its client's end with a COMPLETION message
+    closed: threading.Event = field(default_factory=threading.Event)
+    pause_signal: PauseSignal | None = None  # None: the connection stays in this process to its end
+    paused_to_downstream: bool = False  # that direction has paused
+    paused_to_upstream: bool = False
+    paused: bool = False  # nothing is read or written here until ``resume``
+    pause_lock: threading.Lock = field(default_factory=threading.Lock)
+
+    def forward(self, observer: ConnectionObserver) -> Status | None:
+        """Forward all bytes in both directions until either side ends, then end the other side in the same way.
+
+        Returns None where the connection is paused instead. Both sockets are then left open, and the bytes that were
+        read but not forwarded are in ``unsent_to_upstream`` and ``unsent_to_downstream``.
+        """
+        upward = threading.Thread(target=self._forward_to_upstream, name="up " + self.id, daemon=True)
+        upward.start()
         try:
-            self._pass_down(observer)
-            if self.halted_down:
-                back.join(HALT_BOUND.total_seconds())
-                if self._freeze():
+            self._forward_to_downstream(observer)
+            if self.paused_to_downstream:
+                upward.join(PAUSE_TIMEOUT.total_seconds())
+                if self._pause():
                     return None
-                if self.halted_up:
-                    back = threading.Thread(target=self._pass_up, name="up " + self.id, daemon=True)
-                    back.start()
-                self._pass_down(observer)
+                if self.paused_to_upstream:
+                    upward = threading.Thread(target=self._forward_to_upstream, name="up " + self.id, daemon=True)
+                    upward.start()
+                self._forward_to_downstream(observer)
         finally:
-            if not self.frozen:
-                self._end(back)
+            if not self.paused:
+                self._close(upward)
         return self._status()
 
-    def _halts(self, poll: select.poll, held: memoryview, up: bool) -> bool:
-        """Waits until there is something to read. True: this direction halts instead, with the bytes that it holds."""
-        halt = self.halt
-        if halt is None or not halt.woke(poll.poll()):
+    def _wait_or_pause(self, poll: select.poll, unsent: memoryview, to_upstream: bool) -> bool:
+        """Wait for input. Returns True where this direction pauses instead; the unsent bytes are then saved."""
+        pause_signal = self.pause_signal
+        if pause_signal is None or not pause_signal.is_in(poll.poll()):
             return False
-        with self.turn:
-            if self.halt is None:  # too late: the other direction goes on
+        with self.pause_lock:
+            if self.pause_signal is None:  # too late: the other direction goes on
                 return False
-            if up:
-                self.first_up, self.halted_up = bytes(held), True
+            if to_upstream:
+                self.unsent_to_upstream, self.paused_to_upstream = bytes(unsent), True
             else:
-                self.first_down, self.halted_down = bytes(held), True
+                self.unsent_to_downstream, self.paused_to_downstream = bytes(unsent), True
             return True
 
-    def _freeze(self) -> bool:
-        """Both directions have halted, and nobody is on the way out. Otherwise none halts any more."""
-        with self.lock, self.turn:
+    def _pause(self) -> bool:
+        """Pause the connection if both directions have paused and neither side is ending; else forbid any pause."""
+        with self.write_lock, self.pause_lock:
             ending = (
                 self.moved
-                or self.move_wanted
-                or self.refused
-                or self.left
-                or self.reset_down
-                or self.last in (Kind.LAST, Kind.AWAY)
+                or self.move_requested
+                or self.rejected
+                or self.downstream_ended
+                or self.downstream_reset
+                or self.last_kind in (MessageKind.COMPLETION, MessageKind.SENT_AWAY)
             )
-            self.frozen = self.halted_down and self.halted_up and not ending
-            if not self.frozen:
-                self.halt = None
-            return self.frozen
-
-    def thaw(self) -> None:
-        """Nobody else has taken it: it is carried on here, to its end."""
-        with self.lock, self.turn:
-            self.frozen = self.halted_down = self.halted_up = False
-            self.halt = None
-
-    def let_go(self) -> None:
-        """Another process has it. Only our descriptors are closed: the sockets themselves are that one's."""
-        self.over.set()
-        for side in (self.downstream, self.upstream):
-            if isinstance(side, socket.socket):
-                side.close()
-
-    def _end(self, back: threading.Thread) -> None:
-        """The connection is over: the other side ends as this one did."""
-        self.over.set()
-        # The host's end is passed on at once; shutting both wakes the other thread.
-        if not self.reset_up:
+            self.paused = self.paused_to_downstream and self.paused_to_upstream and not ending
+            if not self.paused:
+                self.pause_signal = None
+            return self.paused
+
+    def resume(self) -> None:
+        """Undo a pause: no other process has taken the connection, so it stays in this one to its end."""
+        with self.write_lock, self.pause_lock:
+            self.paused = self.paused_to_downstream = self.paused_to_upstream = False
+            self.pause_signal = None
+
+    def release(self) -> None:
+        """Close this process's descriptors of a paused connection that another process has taken over."""
+        self.closed.set()
+        for transport in (self.downstream, self.upstream):
+            if isinstance(transport, socket.socket):
+                transport.close()
+
+    def _close(self, upward: threading.Thread) -> None:
+        """End both sides in the way in which the first one ended."""
+        self.closed.set()
+        # The host's end is passed on at once; shutting both sides down wakes the other thread.
+        if not self.upstream_reset:
             sockets.shut_down(self.downstream)
         else:
             sockets.shut_down(self.downstream, socket.SHUT_RD)
-        sockets.shut_down(self.upstream, socket.SHUT_RD if self.reset_down else socket.SHUT_RDWR)
-        back.join()
-        sockets.close(self.downstream, reset=self.reset_up and not (self.moved or self.refused))
-        sockets.close(self.upstream, reset=self.reset_down)
+        sockets.shut_down(self.upstream, socket.SHUT_RD if self.downstream_reset else socket.SHUT_RDWR)
+        upward.join()
+        sockets.close(self.downstream, reset=self.upstream_reset and not (self.moved or self.rejected))
+        sockets.close(self.upstream, reset=self.downstream_reset)
 
     def _status(self) -> Status:
-        if self.moved or self.refused or self.reset_down or self.last is Kind.AWAY:
+        if self.moved or self.rejected or self.downstream_reset or self.last_kind is MessageKind.SENT_AWAY:
             return Status.CANCELLED
-        if self.last is Kind.LAST:
+        if self.last_kind is MessageKind.COMPLETION:
             return Status.SERVED
-        # Who ended first decides where the host has no last word to say (NATS), or cannot say one after its client's
-        # end (a TLS stack without half-closed connections). Elsewhere its silence then is a sign: taking it for none
-        # cost 0.02 of goodput on days with rude clients, in two runs.
-        excused = self.left and (not self.says_last or isinstance(self.upstream, sockets.Channel))
+        # A host that sends no completion message (NATS), or cannot send one after its client's end (a TLS stack
+        # without half-closed connections), is not to blame if the client ended first. Any other host that stays silent
+        # then has a fault: ignoring that cost 0.02 of goodput with many abrupt clients, in two runs.
+        excused = self.downstream_ended and (not self.sends_completion or isinstance(self.upstream, sockets.Channel))
         return Status.CANCELLED if excused else Status.CUT
 
-    def _pass_down(self, observer: Observer) -> None:
-        buffer = bytearray(max(MOST, 2 * len(self.first_down)))
+    def _forward_to_downstream(self, observer: ConnectionObserver) -> None:
+        buffer = bytearray(max(FORWARD_BUFFER_BYTES, 2 * len(self.unsent_to_downstream)))
         view = memoryview(buffer)
-        have = len(self.first_down)
-        buffer[:have] = self.first_down
-        fresh = have > 0
-        poll = None if self.halt is None else self.halt.beside(self.upstream)
+        size = len(self.unsent_to_downstream)
+        buffer[:size] = self.unsent_to_downstream
+        has_new_data = size > 0
+        poll = None if self.pause_signal is None else self.pause_signal.poll_with(self.upstream)
         while True:
-            if not fresh:
-                if poll is not None and self._halts(poll, view[:have], up=False):
+            if not has_new_data:
+                if poll is not None and self._wait_or_pause(poll, view[:size], to_upstream=False):
                     return
                 try:
-                    got = self.upstream.recv_into(view[have:])
+                    received = self.upstream.recv_into(view[size:])
                 except sockets.TruncatedError:
-                    # After its last word nothing can be missing; before, a cut must not look like an end.
-                    self.reset_up = self.last is not Kind.LAST
-                    got = 0
+                    # After a completion message nothing can be missing; before it, a cut must not look like an end.
+                    self.upstream_reset = self.last_kind is not MessageKind.COMPLETION
+                    received = 0
                 except OSError:
-                    self.reset_up = True
-                    got = 0
-                if got == 0:
-                    self._write_down(view[:have])  # the last, broken message goes on as it came
+                    self.upstream_reset = True
+                    received = 0
+                if received == 0:
+                    self._write_to_downstream(view[:size])  # an incomplete last message is forwarded as it is
                     return
-                have += got
-            fresh = False
-            passed, messages = self.from_upstream.feed(view[:have])
-            if passed == 0 and have == len(buffer):
-                passed = have  # longer than any message may be: not ours to judge
-            goes_on = self._write_down(view[:passed])
-            self._hear(messages, observer)  # afterwards: what it leads to, a move say, must not overtake it
+                size += received
+            has_new_data = False
+            passed, messages = self.from_upstream.feed(view[:size])
+            if passed == 0 and size == len(buffer):
+                passed = size  # longer than any valid message: forwarded, not judged here
+            goes_on = self._write_to_downstream(view[:passed])
+            # Only after the write: what a message leads to, such as a move, must not overtake it.
+            self._handle_messages(messages, observer)
             if not goes_on:
                 return
-            buffer[: have - passed] = buffer[passed:have]
-            have -= passed
+            buffer[: size - passed] = buffer[passed:size]
+            size -= passed
 
-    def _hear(self, messages: list[Message], observer: Observer) -> None:
+    def _handle_messages(self, messages: list[Message], observer: ConnectionObserver) -> None:
         for message in messages:
-            self.last = message.kind
-            if message.kind is Kind.ANSWER:
-                self.answered = now()
-            if message.kind is Kind.ANSWER and self.asked:
-                observer.delay(self, now() - self.asked.popleft())
-            elif message.kind is Kind.LOAD:
-                observer.load(self, message.value)
-            elif message.kind in (Kind.DRAINS, Kind.AWAY) and not self._we_end():
-                # It sends its clients away because it drains, and discovery's word may come seconds later: until
-                # then many balancers would send it the very clients that it has just sent away.
-                observer.drains(self)
-
-    def _we_end(self) -> bool:
-        """Its client's side has ended, by us or by itself. A host answers that with a last word, and where we have
-        moved the client it says MOVE, which then tells nothing of the host."""
-        return self.moved or self.refused or self.left or self.over.is_set()
-
-    def _write_down(self, data: memoryview) -> bool:
-        """Passes data on, then says the farewell if a move waits for this message's end."""
-        with self.lock:
-            if self.moved or self.refused:
+            self.last_kind = message.kind
+            if message.kind is MessageKind.RESPONSE:
+                self.last_response = now()
+            if message.kind is MessageKind.RESPONSE and self.pending_queries:
+                observer.on_delay(self, now() - self.pending_queries.popleft())
+            elif message.kind is MessageKind.LOAD:
+                observer.on_load(self, message.value)
+            elif message.kind in (MessageKind.DRAINING, MessageKind.SENT_AWAY) and not self._client_side_ended():
+                # A host sends its clients away because it drains. Discovery may report that seconds later; until then
+                # many balancers would send it the very clients that it has just sent away.
+                observer.on_host_draining(self)
+
+    def _client_side_ended(self) -> bool:
+        """Return whether the downstream's side was ended, by the client or by this process.
+
+        A host answers that end with a last message. After a move that message is MOVE, and says nothing of the host.
+        """
+        return self.moved or self.rejected or self.downstream_ended or self.closed.is_set()
+
+    def _write_to_downstream(self, data: memoryview) -> bool:
+        """Write data, then the move message if a move waits for this message's end. Returns whether to go on."""
+        with self.write_lock:
+            if self.moved or self.rejected:
                 return False
             try:
                 sockets.write(self.downstream, [data])
             except OSError:
-                self.reset_down = True
+                self.downstream_reset = True
                 return False
             self.started = True
-            if self.move_wanted and self.from_upstream.between():
-                self._farewell()
+            if self.move_requested and self.from_upstream.at_boundary():
+                self._send_move_message()
             return not self.moved
 
-    def _pass_up(self) -> None:
-        buffer = bytearray(max(MOST, 2 * len(self.first_up)))
+    def _forward_to_upstream(self) -> None:
+        buffer = bytearray(max(FORWARD_BUFFER_BYTES, 2 * len(self.unsent_to_upstream)))
         view = memoryview(buffer)
-        have = len(self.first_up)
-        buffer[:have] = self.first_up
-        poll = None if self.halt is None else self.halt.beside(self.downstream)
+        size = len(self.unsent_to_upstream)
+        buffer[:size] = self.unsent_to_upstream
+        poll = None if self.pause_signal is None else self.pause_signal.poll_with(self.downstream)
         while True:
-            if have:
+            if size:
                 try:
-                    passed, messages = self.from_downstream.feed(view[:have])
-                except ViolationError as violation:
-                    self._end_with(violation.reply)
+                    passed, messages = self.from_downstream.feed(view[:size])
+                except ProtocolViolationError as violation:
+                    self._reject(violation.reply)
                     return
                 at = now()
-                asks = sum(message.kind is Kind.ASK for message in messages)
-                # The oldest tell who is mute: a client that floods us with lines must not fill our memory.
-                self.asked.extend([at] * min(asks, MOST_ASKED - len(self.asked)))
-                passed = passed if have < len(buffer) else passed or have
+                queries = sum(message.kind is MessageKind.QUERY for message in messages)
+                # Only the oldest times are kept. They suffice to detect silence, and a client that sends without end
+                # must not fill the memory.
+                self.pending_queries.extend([at] * min(queries, MAX_PENDING_QUERIES - len(self.pending_queries)))
+                passed = passed if size < len(buffer) else passed or size
                 try:
                     sockets.write(self.upstream, [view[:passed]])
                 except OSError:
                     return  # the other thread sees how the upstream host ended
-                buffer[: have - passed] = buffer[passed:have]
-                have -= passed
-            if poll is not None and self._halts(poll, view[:have], up=True):
+                buffer[: size - passed] = buffer[passed:size]
+                size -= passed
+            if poll is not None and self._wait_or_pause(poll, view[:size], to_upstream=True):
                 return
             try:
-                got = self.downstream.recv_into(view[have:])
+                received = self.downstream.recv_into(view[size:])
             except OSError:
-                self.reset_down = True
+                self.downstream_reset = True
                 break
-            if got == 0:
+            if received == 0:
                 break
-            have += got
-        if self.over.is_set() or self.moved:
+            size += received
+        if self.closed.is_set() or self.moved:
             return
-        if self.reset_down:
+        if self.downstream_reset:
             sockets.shut_down(self.upstream, socket.SHUT_RD)
             return
-        self.left = True
+        self.downstream_ended = True
         sockets.shut_down(self.upstream, socket.SHUT_WR)
-        if not self.over.wait(LAST_WORD.total_seconds()):
+        if not self.closed.wait(HALF_CLOSE_TIMEOUT.total_seconds()):
             sockets.shut_down(self.upstream)
 
-    def move(self, within: timedelta = MOVE_BOUND) -> bool:
-        """Tells the downstream to move, between two messages, and ends both sides. False if it is over. A message that
-        takes longer than ``within`` to pass is followed by the farewell: whoever has many to move waits on none."""
-        if not self.lock.acquire(timeout=within.total_seconds()):
-            self.move_wanted = True  # the writer has the lock and says the farewell itself
+    def move(self, lock_timeout: timedelta = MOVE_TIMEOUT) -> bool:
+        """Tell the downstream to move, between two messages, and end both sides. Returns False if it has ended.
+
+        If a message takes longer than ``lock_timeout`` to write, the writing thread sends the move message after it.
+        Thus a caller that moves many connections does not wait for slow readers.
+        """
+        if not self.write_lock.acquire(timeout=lock_timeout.total_seconds()):
+            self.move_requested = True  # the thread that holds the lock sends the move message itself
             return True
-        with self.lock_held():
-            if self.moved or self.refused or self.frozen or self.over.is_set() or self.last is Kind.AWAY:
-                return False  # its host has told it itself: a second farewell would be a line of nobody's
-            if not (self.started and self.from_upstream.between()):
-                self.move_wanted = True
+        with self._held_write_lock():
+            if (
+                self.moved
+                or self.rejected
+                or self.paused
+                or self.closed.is_set()
+                or self.last_kind is MessageKind.SENT_AWAY
+            ):
+                return False  # after the host's own MOVE a second one would be an unexpected line
+            if not (self.started and self.from_upstream.at_boundary()):
+                self.move_requested = True
                 return True
-            self._farewell()
+            self._send_move_message()
             return True
 
-    def lock_held(self) -> _Held:
-        return _Held(self.lock)
+    def _held_write_lock(self) -> _HeldLock:
+        return _HeldLock(self.write_lock)
 
-    def _farewell(self) -> None:
+    def _send_move_message(self) -> None:
         self.moved = True
-        self._last_words(self.farewell)
+        self._send_last(self.move_message)
 
-    def _end_with(self, reply: bytes) -> None:
-        with self.lock:
+    def _reject(self, reply: bytes) -> None:
+        with self.write_lock:
             if not self.moved:
-                self.refused = True
-                self._last_words(reply)
+                self.rejected = True
+                self._send_last(reply)
 
-    def _last_words(self, words: bytes) -> None:
-        """With the lock held: nothing follows these words on the downstream."""
+    def _send_last(self, data: bytes) -> None:
+        """Write the last bytes to the downstream and shut both sides down. Called with ``write_lock`` held."""
         try:
-            sockets.write(self.downstream, [words])
+            sockets.write(self.downstream, [data])
         except OSError:
-            self.reset_down = True
+            self.downstream_reset = True
         sockets.shut_down(self.upstream)
         sockets.shut_down(self.downstream)
 
-    def mute_for(self) -> timedelta:
-        """For how long a message has gone unanswered."""
+    def silence(self) -> timedelta:
+        """Return for how long the oldest pending query has gone unanswered."""
         try:
-            return now() - self.asked[0]
+            return now() - self.pending_queries[0]
         except IndexError:
             return ZERO_DURATION
 
 
 @dataclass(slots=True)
-class _Held:
-    """Releases a lock that was acquired with a time-out."""
+class _HeldLock:
+    """Releases a lock that was acquired with a timeout."""
 
     lock: threading.Lock
 
@@ -390,106 +422,121 @@
 
 
 @dataclass(slots=True)
-class _Seen:
-    """What is known of one upstream host's delay."""
+class _HostDelay:
+    """Delay statistics of one upstream host."""
 
-    least: timedelta
-    prompt: timedelta = ZERO_DURATION  # when an answer last came in good time, on whichever connection
-    noted: timedelta = ZERO_DURATION
+    min_took: timedelta
+    last_prompt: timedelta = ZERO_DURATION  # when a response last came in good time, on any connection
+    last_report: timedelta = ZERO_DURATION
     high: bool = False
 
 
-class Delays:
-    """Turns the time that answers take into notes: once a second and host while it is over the threshold,
-    and once more when it is back under. The way there and back, the least time seen, is no delay. A message that is
-    late while others, asked after it, are answered in good time tells of its own connection and nothing of the host:
-    seen, one connection that had fallen silent emptied a host at half its load."""
+class DelayMonitor:
+    """Reports delays of upstream hosts that exceed a threshold, and once more when they are back under it.
+
+    A host is reported at most once a second. Its delay is the response time less the shortest response time seen,
+    which is the network's share. A late response counts only for its own connection while other messages, sent after
+    it, were answered in good time: one silent connection once emptied a host at half its load.
+    """
 
-    def __init__(self, threshold: timedelta, note: Callable[[Standing, timedelta], None]) -> None:
+    def __init__(self, threshold: timedelta, report: Callable[[ProxiedConnection, timedelta], None]) -> None:
         self.threshold = threshold
-        self._note = note
+        self._report = report
         self._lock = threading.Lock()
-        self._hosts: dict[str, _Seen] = {}
+        self._hosts: dict[str, _HostDelay] = {}
 
-    def seen(self, standing: Standing, took: timedelta, answered: bool = True) -> None:
+    def record(self, connection: ProxiedConnection, took: timedelta, answered: bool = True) -> None:
+        """Record a response time, or with ``answered=False`` how long a pending query has waited so far."""
         with self._lock:
-            host = self._hosts.setdefault(standing.host, _Seen(took))
+            host = self._hosts.setdefault(connection.host, _HostDelay(took))
             if answered:
-                host.least = min(host.least, took)
-            delay, at = took - host.least, now()
+                host.min_took = min(host.min_took, took)
+            delay, at = took - host.min_took, now()
             high = delay > self.threshold
-            if high and host.prompt > at - took:
+            if high and host.last_prompt > at - took:
                 return
             if answered and not high:
-                host.prompt = at
-            # An answer that is still out proves a delay, never its end.
-            if not (high or (host.high and answered)) or at - host.noted < NOTE_EVERY:
+                host.last_prompt = at
+            # A response that is still pending can prove a delay, but not its end.
+            if not (high or (host.high and answered)) or at - host.last_report < DELAY_REPORT_INTERVAL:
                 return
-            host.high, host.noted = high, at
-        self._note(standing, delay)
+            host.high, host.last_report = high, at
+        self._report(connection, delay)
 
 
 class Connections:
-    """All standing connections, and the two threads that look after them."""
+    """All established connections of a front, a thread that moves them, and a thread that detects silence."""
 
     def __init__(
-        self, on_mute: Callable[[Standing, timedelta], None], on_hush: Callable[[Standing, timedelta], None]
+        self,
+        on_silent_connection: Callable[[ProxiedConnection, timedelta], None],
+        on_silent_host: Callable[[ProxiedConnection, timedelta], None],
     ) -> None:
         self._lock = threading.Lock()
-        self._all: dict[str, Standing] = {}
+        self._all: dict[str, ProxiedConnection] = {}
         self._moves: SimpleQueue[str] = SimpleQueue()
-        self._on_mute = on_mute
-        self._on_hush = on_hush
+        self._on_silent_connection = on_silent_connection
+        self._on_silent_host = on_silent_host
         self._stop = threading.Event()
 
     def start(self) -> None:
+        """Start both threads."""
         for run in (self._run_moves, self._run_watch):
             threading.Thread(target=run, name=run.__name__, daemon=True).start()
 
-    def add(self, standing: Standing) -> None:
+    def add(self, connection: ProxiedConnection) -> None:
+        """Add an established connection."""
         with self._lock:
-            self._all[standing.id] = standing
+            self._all[connection.id] = connection
 
-    def remove(self, standing: Standing) -> None:
+    def remove(self, connection: ProxiedConnection) -> None:
+        """Remove a connection that has ended or been handed over."""
         with self._lock:
-            self._all.pop(standing.id, None)
+            self._all.pop(connection.id, None)
 
-    def all(self) -> list[Standing]:
+    def all(self) -> list[ProxiedConnection]:
+        """Return all established connections."""
         with self._lock:
             return list(self._all.values())
 
     def move(self, name: str) -> None:
-        self._moves.put(name)  # a slow downstream must not hold up the thread that brought the news
+        """Queue a move of the connection with this id, so that a slow downstream does not block the caller."""
+        self._moves.put(name)
 
     def _run_moves(self) -> None:
         while True:
             name = self._moves.get()
             with self._lock:
-                standing = self._all.get(name)
-            if standing is not None:
-                standing.move()
+                connection = self._all.get(name)
+            if connection is not None:
+                connection.move()
 
     def _run_watch(self) -> None:
-        while not self._stop.wait(WATCH_EVERY.total_seconds()):
-            hosts: dict[str, list[Standing]] = {}
-            for standing in self.all():
-                hosts.setdefault(standing.host, []).append(standing)
-            for held in hosts.values():
-                self._look_at(held)
-
-    def _look_at(self, held: list[Standing]) -> None:
-        """One upstream host's connections: which return nothing, and whether none of them does."""
-        mute = {standing: silent for standing in held if (silent := standing.mute_for()) > NOTED_FROM}
-        if not mute:
+        while not self._stop.wait(WATCH_INTERVAL.total_seconds()):
+            hosts: dict[str, list[ProxiedConnection]] = {}
+            for connection in self.all():
+                hosts.setdefault(connection.host, []).append(connection)
+            for connections in hosts.values():
+                self._check_host(connections)
+
+    def _check_host(self, connections: list[ProxiedConnection]) -> None:
+        """Report the silent connections of one upstream host, and the host itself if all of them are silent."""
+        silent = {
+            connection: duration
+            for connection in connections
+            if (duration := connection.silence()) > MIN_REPORTED_SILENCE
+        }
+        if not silent:
             return
-        first = max(mute, key=lambda standing: mute[standing])
-        answered = max(standing.answered for standing in held)
-        hush = min(mute[first], now() - answered)
-        if len(mute) == 1 < len(held):
-            # One of several may tell of itself alone, until the others too must have asked. Seen: a host at a third of
-            # its load lost all that it held, as one had fallen silent and the other two had asked nothing for a second.
-            hush -= ASK_EVERY
-        if hush > NOTED_FROM:
-            self._on_hush(first, hush)
-        for standing, silent in mute.items():
-            self._on_mute(standing, silent)
+        longest = max(silent, key=lambda connection: silent[connection])
+        last_response = max(connection.last_response for connection in connections)
+        host_silence = min(silent[longest], now() - last_response)
+        if len(silent) == 1 < len(connections):
+            # One of several connections may be the only one that has sent a query. It counts for its host only once
+            # the others too must have sent one. Before this rule a host at a third of its load lost all its
+            # connections, as one had fallen silent and the other two had sent nothing for a second.
+            host_silence -= QUERY_INTERVAL
+        if host_silence > MIN_REPORTED_SILENCE:
+            self._on_silent_host(longest, host_silence)
+        for connection, duration in silent.items():
+            self._on_silent_connection(connection, duration)
--- a/bramblestile/operations/passport.py
+++ b/bramblestile/operations/passport.py
@@ -8,32 +8,32 @@
 from typing import Any
 
 from bramblestile.clock import MICROSECOND
-from bramblestile.memory.connections import Kind, Standing
+from bramblestile.memory.connections import MessageKind, ProxiedConnection
 from bramblestile.wire import lines
 from vanegw import interface as api
 
 
-def packed(standing: Standing, request: api.Request) -> dict[str, Any]:
+def packed(connection: ProxiedConnection, request: api.Request) -> dict[str, Any]:
     """What it goes on by: what was read and not passed on, the questions that are out, the request as it was."""
     return {
-        "stand": standing.id,
-        "host": standing.host,
+        "stand": connection.id,
+        "host": connection.host,
         "request": asdict(request),
-        "up": standing.first_up.hex(),
-        "down": standing.first_down.hex(),
-        "asked": [at // MICROSECOND for at in standing.asked],
-        "answered": standing.answered // MICROSECOND,
-        "started": standing.started,
-        "last": standing.last.value,
+        "up": connection.unsent_to_upstream.hex(),
+        "down": connection.unsent_to_downstream.hex(),
+        "asked": [at // MICROSECOND for at in connection.pending_queries],
+        "answered": connection.last_response // MICROSECOND,
+        "started": connection.started,
+        "last": connection.last_kind.value,
     }
 
 
 def unpacked(
     message: dict[str, Any], downstream: socket.socket, upstream: socket.socket
-) -> tuple[Standing, api.Request]:
+) -> tuple[ProxiedConnection, api.Request]:
     """KeyError, TypeError or ValueError where the message is not whole."""
     request = api.Request(**message["request"])
-    standing = lines.standing(
+    connection = lines.connection(
         str(message["stand"]),
         str(message["host"]),
         downstream,
@@ -41,7 +41,7 @@
         bytes.fromhex(message["up"]),
         bytes.fromhex(message["down"]),
     )
-    standing.asked.extend(timedelta(microseconds=int(at)) for at in message["asked"])
-    standing.answered = timedelta(microseconds=int(message["answered"]))
-    standing.started, standing.last = bool(message["started"]), Kind(message["last"])
-    return standing, request
+    connection.pending_queries.extend(timedelta(microseconds=int(at)) for at in message["asked"])
+    connection.last_response = timedelta(microseconds=int(message["answered"]))
+    connection.started, connection.last_kind = bool(message["started"]), MessageKind(message["last"])
+    return connection, request
--- a/bramblestile/operations/succession.py
+++ b/bramblestile/operations/succession.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from bramblestile.log import Log
-from bramblestile.memory.connections import Halt, Standing
+from bramblestile.memory.connections import PauseSignal, ProxiedConnection
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.passport import packed
 from vanegw import interface as api
@@ -48,7 +48,7 @@
         self._folder = folder
         self._counters = counters
         self._log = Log(part="succession")
-        self.halt = Halt()  # what stands here is to be handed on
+        self.pause_signal = PauseSignal()  # what stands here is to be handed on
         self.adopt: Adopt = lambda message, downstream, upstream: False
         self.export_state: Callable[[], list[dict[str, Any]]] = list  # what a successor is to know
         self.import_state: Callable[[dict[str, Any]], None] = lambda message: None
@@ -96,9 +96,9 @@
             link = self._successor
         if link is not None:
             self._tell_learned(link)  # what was sent to cold hosts since it was told first
-        self.halt.set()
+        self.pause_signal.set()
 
-    def take(self, standing: Standing, request: api.Request) -> bool:
+    def take(self, standing: ProxiedConnection, request: api.Request) -> bool:
         """The successor's word on a frozen connection. Where it has ended, nobody else carries it; where it lives and
         says nothing, it may."""
         with self._lock:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -21,7 +21,7 @@
 from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.life import adopt
 from bramblestile.log import Log
-from bramblestile.memory.connections import Standing
+from bramblestile.memory.connections import ProxiedConnection
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.calls import Operators
 from bramblestile.operations.evacuation import Evacuation
@@ -557,13 +557,13 @@
         standing = [
             one
             for one in self._standing()
-            if host in (None, one.host) and not (one.moved or one.frozen or (one.move_wanted and at < plan.last))
+            if host in (None, one.host) and not (one.moved or one.paused or (one.move_requested and at < plan.last))
         ]
         for one in plan.due(at, standing):
             self._move(one, reason)
 
-    def _move(self, standing: Standing, reason: str) -> None:
-        told = standing.moved or standing.move_wanted
+    def _move(self, standing: ProxiedConnection, reason: str) -> None:
+        told = standing.moved or standing.move_requested
         if standing.move(TICK) and not told:
             self.tracing.current.moved(now(), standing.id, standing.host, reason)
 
@@ -576,7 +576,7 @@
         longest = max(c.deadline_us for front in self.fronts for c in front.config.settings.classes)
         return min(timedelta(microseconds=longest), LONGEST_DEADLINE)
 
-    def _standing(self) -> list[Standing]:
+    def _standing(self) -> list[ProxiedConnection]:
         return [one for front in self.fronts for one in front.connections.all()]
 
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -15,7 +15,7 @@
 from bramblestile.life import House, live
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
-from bramblestile.memory.connections import Connections, Delays, Standing
+from bramblestile.memory.connections import Connections, DelayMonitor, ProxiedConnection
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions
 from bramblestile.memory.lobby import Lobby
@@ -90,7 +90,7 @@
         self.cluster = Cluster()
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
         self.connections = Connections(self.mute, self.hush)
-        self.delays = Delays(noted_from(config.settings), self._note_delay)
+        self.delays = DelayMonitor(noted_from(config.settings), self._note_delay)
         self.house = House(
             self.decisions,
             self.cluster,
@@ -267,26 +267,26 @@
 
     # The observer of standing connections.
 
-    def _note(self, standing: Standing, kind: api.NoteKind, value: float) -> None:
+    def _note(self, standing: ProxiedConnection, kind: api.NoteKind, value: float) -> None:
         self.decisions.handle_event(api.Note(standing.id, 0, standing.host, kind, value))
 
-    def load(self, standing: Standing, value: float) -> None:
+    def on_load(self, standing: ProxiedConnection, value: float) -> None:
         self._note(standing, api.NoteKind.LOAD, value)
 
-    def delay(self, standing: Standing, delay: timedelta) -> None:
-        self.delays.seen(standing, delay)
+    def on_delay(self, standing: ProxiedConnection, delay: timedelta) -> None:
+        self.delays.record(standing, delay)
 
-    def drains(self, standing: Standing) -> None:
+    def on_host_draining(self, standing: ProxiedConnection) -> None:
         self.host_drains(standing.host)
 
-    def mute(self, standing: Standing, delay: timedelta) -> None:
+    def mute(self, standing: ProxiedConnection, delay: timedelta) -> None:
         self._note(standing, api.NoteKind.SILENCE, delay / MILLISECOND)
 
-    def hush(self, standing: Standing, silent: timedelta) -> None:
-        self.delays.seen(standing, silent, answered=False)
+    def hush(self, standing: ProxiedConnection, silent: timedelta) -> None:
+        self.delays.record(standing, silent, answered=False)
         self._note(standing, api.NoteKind.HUSH, silent / MILLISECOND)
 
-    def _note_delay(self, standing: Standing, delay: timedelta) -> None:
+    def _note_delay(self, standing: ProxiedConnection, delay: timedelta) -> None:
         self._note(standing, api.NoteKind.DELAY, delay / MILLISECOND)
 
     def host_drains(self, name: str) -> None:
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -12,7 +12,7 @@
 from bramblestile.clock import MICROSECOND, ZERO_DURATION, now, to_milliseconds
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Kind, Message, Standing
+from bramblestile.memory.connections import Message, MessageKind, ProxiedConnection
 from bramblestile.sockets import LineReader, Transport, decode_line
 from bramblestile.wire.common import SocketDownstream, plain
 from vanegw.interface import Report, Status
@@ -138,7 +138,7 @@
 class LineFramer:
     """Passes whole lines on. ``meanings`` tells what the first word of a line stands for."""
 
-    def __init__(self, meanings: dict[bytes, Kind], other: Kind) -> None:
+    def __init__(self, meanings: dict[bytes, MessageKind], other: MessageKind) -> None:
         self._meanings = meanings
         self._other = other
 
@@ -149,10 +149,10 @@
         for line in raw[:passed].splitlines():
             word, _, rest = line.partition(b" ")
             kind = self._meanings.get(word, self._other)
-            messages.append(Message(kind, _number(rest) if kind is Kind.LOAD else 0.0))
+            messages.append(Message(kind, _number(rest) if kind is MessageKind.LOAD else 0.0))
         return passed, messages
 
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         return True  # only whole lines go on
 
 
@@ -160,13 +160,13 @@
     """Passes everything on at once; counts the lines that end."""
 
     def feed(self, data: memoryview) -> tuple[int, list[Message]]:
-        return len(data), [Message(Kind.ASK)] * bytes(data).count(b"\n")
+        return len(data), [Message(MessageKind.QUERY)] * bytes(data).count(b"\n")
 
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         return True
 
 
-FROM_UPSTREAM = {b"LOAD": Kind.LOAD, b"BYE": Kind.LAST, b"MOVE": Kind.AWAY}
+FROM_UPSTREAM = {b"LOAD": MessageKind.LOAD, b"BYE": MessageKind.COMPLETION, b"MOVE": MessageKind.SENT_AWAY}
 
 
 def _number(value: bytes) -> float:
@@ -215,7 +215,7 @@
         if word != "UP":
             return NotUp(OUTCOMES.get(word, Status.ERROR), host_drains=word == "MOVE")
         return Up(
-            standing(
+            connection(
                 self._asked.id,
                 "",
                 self._sock,
@@ -226,20 +226,25 @@
         )
 
 
-def standing(
-    name: str, host: str, downstream: socket.socket, upstream: Transport, first_up: bytes, first_down: bytes
-) -> Standing:
+def connection(
+    name: str,
+    host: str,
+    downstream: socket.socket,
+    upstream: Transport,
+    unsent_to_upstream: bytes,
+    unsent_to_downstream: bytes,
+) -> ProxiedConnection:
     """A connection of this protocol that is up. The framers keep nothing between two reads."""
-    return Standing(
+    return ProxiedConnection(
         name,
         host,
         downstream,
         upstream,
         MOVE,
-        LineFramer(FROM_UPSTREAM, Kind.ANSWER),
+        LineFramer(FROM_UPSTREAM, MessageKind.RESPONSE),
         PlainFramer(),
-        first_up=first_up,
-        first_down=first_down,
+        unsent_to_upstream=unsent_to_upstream,
+        unsent_to_downstream=unsent_to_downstream,
     )
 
 
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -19,7 +19,7 @@
 from bramblestile.clock import ZERO_DURATION, now, to_milliseconds
 from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.memory.connections import Kind, Message, Standing, ViolationError
+from bramblestile.memory.connections import Message, MessageKind, ProtocolViolationError, ProxiedConnection
 from bramblestile.sockets import Address, LineReader, Transport, decode_line
 from bramblestile.wire.common import MOST_PINGS, SocketDownstream, plain
 from vanegw.interface import Report, Status
@@ -170,7 +170,7 @@
 class NatsFramer:
     """Follows one direction, over split and joined reads, through payloads that may hold any bytes."""
 
-    def __init__(self, kinds: Mapping[bytes, Kind], max_payload: int | None = None) -> None:
+    def __init__(self, kinds: Mapping[bytes, MessageKind], max_payload: int | None = None) -> None:
         self._kinds = kinds
         self._max_payload = max_payload  # None: the upstream host's own affair
         self._owed = 0  # bytes of a payload, with its ending, that are still to come
@@ -185,7 +185,7 @@
                 continue
             end = raw.find(b"\n", at)
             if (end if end >= 0 else len(raw)) - at > LONGEST and self._max_payload is not None:
-                raise ViolationError(LINE_LIMIT)
+                raise ProtocolViolationError(LINE_LIMIT)
             if end < 0:
                 break
             messages.append(self._line(raw[at : end + 1]))
@@ -198,17 +198,17 @@
         if word in PAYLOADS:
             if not words[-1].isdigit():
                 if self._max_payload is not None:
-                    raise ViolationError(PARSER)
-                return Message(Kind.OTHER)
+                    raise ProtocolViolationError(PARSER)
+                return Message(MessageKind.OTHER)
             size = int(words[-1])
             if self._max_payload is not None and size > self._max_payload:
-                raise ViolationError(PAYLOAD_LIMIT)
+                raise ProtocolViolationError(PAYLOAD_LIMIT)
             self._owed = size + 2
         if word == b"INFO" and is_ldm(line):
-            return Message(Kind.DRAINS)
-        return Message(self._kinds.get(word, Kind.OTHER))
+            return Message(MessageKind.DRAINING)
+        return Message(self._kinds.get(word, MessageKind.OTHER))
 
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         return self._owed == 0
 
 
@@ -267,20 +267,20 @@
             elif word != b"+OK":
                 return NotUp(Status.ERROR)
 
-    def _standing(self, upstream: Transport, reader: LineReader) -> Standing:
+    def _standing(self, upstream: Transport, reader: LineReader) -> ProxiedConnection:
         greeting = self._greeting
-        return Standing(
+        return ProxiedConnection(
             self._asked.id,
             "",
             self._sock,
             upstream,
             greeting.info(ldm=True),
-            NatsFramer({b"PONG": Kind.ANSWER}),
-            NatsFramer({b"PING": Kind.ASK}, greeting.max_payload),
-            first_up=self._reader.take_buffered(),
-            first_down=(OK if self._verbose else b"") + reader.take_buffered(),
+            NatsFramer({b"PONG": MessageKind.RESPONSE}),
+            NatsFramer({b"PING": MessageKind.QUERY}, greeting.max_payload),
+            unsent_to_upstream=self._reader.take_buffered(),
+            unsent_to_downstream=(OK if self._verbose else b"") + reader.take_buffered(),
             started=True,
-            says_last=False,
+            sends_completion=False,
         )
 
 
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -103,4 +103,4 @@
     stage = Stage(wire)
     stage.play(SERVED + "c1 raw " + "PING\\r\\n" * 500 + "\n" + "b0 expect PING\n" * 500)
     (standing,) = stage.front.connections.all()
-    assert 0 < len(standing.asked) <= 64
+    assert 0 < len(standing.pending_queries) <= 64
