--- a/bramblestile/memory/lobby.py
+++ b/bramblestile/memory/pending.py
@@ -16,17 +16,17 @@
 SPEAK = timedelta(milliseconds=50)  # nobody is sent away sooner: whoever has a request says it at once
 
 
-class Lobby:
-    def __init__(self, most: int) -> None:
-        self.most = most
+class PendingDownstreams:
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
         self._changed = threading.Condition()
         self._held: dict[socket.socket, timedelta] = {}  # since when, the oldest first
         self._sent_away: set[socket.socket] = set()
 
-    def make_room(self) -> None:
+    def wait_for_room(self) -> None:
         """For the thread that accepts: returns once one more may come. The oldest leave for it."""
         with self._changed:
-            while len(self._held) >= self.most:
+            while len(self._held) >= self.limit:
                 # Reads end at once, so its thread says goodbye and lets go; it counts until it has.
                 old = next((s for s in self._held if s not in self._sent_away), None)
                 left = SPEAK if old is None else self._held[old] + SPEAK - now()
@@ -35,7 +35,7 @@
                     continue
                 self._changed.wait(left.total_seconds())
 
-    def send_oldest_away(self) -> None:
+    def evict_oldest(self) -> None:
         """Descriptors have run out: whoever has waited longest makes room, however short that is."""
         with self._changed:
             old = next((s for s in self._held if s not in self._sent_away), None)
@@ -46,11 +46,11 @@
         self._sent_away.add(sock)
         sockets.shut_down(sock, socket.SHUT_RD)
 
-    def enter(self, sock: socket.socket) -> None:
+    def add(self, sock: socket.socket) -> None:
         with self._changed:
             self._held[sock] = now()
 
-    def leave(self, sock: socket.socket) -> bool:
+    def remove(self, sock: socket.socket) -> bool:
         """It has become a request, or is over. False where it has been sent away."""
         with self._changed:
             self._held.pop(sock, None)
@@ -59,6 +59,6 @@
             self._sent_away.discard(sock)
             return not away
 
-    def has_sent_away(self, sock: socket.socket) -> bool:
+    def was_evicted(self, sock: socket.socket) -> bool:
         with self._changed:
             return sock in self._sent_away
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -74,7 +74,7 @@
     probe_within: timedelta = PROBE_WITHIN
     checks: Mapping[str, agent.Check] = field(default_factory=dict)
     check_every: timedelta = CHECK_EVERY
-    lobby: int = LOBBY_MOST  # downstreams that are no request yet
+    pending_downstreams: int = LOBBY_MOST  # downstreams that are no request yet
     tls: TlsConfig | None = None  # to the upstream hosts; None: off
 
 
@@ -258,7 +258,7 @@
         probe_within=spans.micros("probe_us", PROBE_WITHIN),
         checks=_checks(at.section("checks"), {h.id for h in hosts}),
         check_every=spans.micros("check_us", CHECK_EVERY, 10_000),
-        lobby=_lobby(top.section("limits")),
+        pending_downstreams=_lobby(top.section("limits")),
         tls=_tls(at.section("tls"), hosts) if at.has("tls") else None,
     )
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -18,7 +18,7 @@
 from bramblestile.memory.connections import Connections, DelayMonitor, ProxiedConnection
 from bramblestile.memory.counters import Counters
 from bramblestile.memory.decisions import Decisions
-from bramblestile.memory.lobby import Lobby
+from bramblestile.memory.pending import PendingDownstreams
 from bramblestile.process.config import ConfigError, FrontConfig, NatsConfig, TlsConfig
 from bramblestile.process.listeners import Listener
 from bramblestile.sockets import Address, Transport
@@ -107,7 +107,7 @@
         self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.handle_event, counters)
         self.watch = None if config.discovery is None else self._make_watch(config.discovery, config.known_version)
         self.checks = Checks(config.checks, config.check_every, self.checked, counters)
-        self.lobby = Lobby(config.lobby)
+        self.pending_downstreams = PendingDownstreams(config.pending_downstreams)
         self.listener: Listener | None = None
         self.inherited: socket.socket | None = None  # a listening socket that others hold too; None: one of our own
         self.stopped = threading.Event()
@@ -183,7 +183,7 @@
         self.checks.start()
         with naming(self.key, self.config.listen):
             self.listener = Listener(
-                self.config.listen, self.serve, self.counters, self.name, self.lobby, self.inherited
+                self.config.listen, self.serve, self.counters, self.name, self.pending_downstreams, self.inherited
             )
         if self.inherited is None:
             self.listener.start()
@@ -210,7 +210,7 @@
         self.decisions.reconfigure(config.settings)
         self.delays.threshold = noted_from(config.settings)
         self.house.connect_within, self.probes.within = config.connect_within, config.probe_within
-        self.lobby.most = config.lobby
+        self.pending_downstreams.limit = config.pending_downstreams
         self._follow(old.discovery, config)
         if (config.checks, config.check_every) != (old.checks, old.check_every):
             self.checks.stop()
@@ -263,7 +263,7 @@
 
     def _admits(self, sock: socket.socket) -> bool:
         """The first words are whole: it is a request from now on, unless its place was just given away."""
-        return self.lobby.leave(sock)
+        return self.pending_downstreams.remove(sock)
 
     # The observer of standing connections.
 
@@ -323,7 +323,7 @@
             for _ in range(MOST_PINGS):
                 line = reader.line(until - now())
                 if line is None:
-                    if self.lobby.has_sent_away(sock):
+                    if self.pending_downstreams.was_evicted(sock):
                         self._turn_away(sock, lines.FULL)
                     return
                 if sockets.decode_line(line) != "PING":
@@ -415,7 +415,7 @@
         except nats.RefusedError as error:
             self._reject(sock, error.reply, error)
             return
-        if (got is None and self.lobby.has_sent_away(sock)) or (got is not None and not self._admits(sock)):
+        if (got is None and self.pending_downstreams.was_evicted(sock)) or (got is not None and not self._admits(sock)):
             self._turn_away(sock, nats.error(nats.FULL))
         elif got is not None:
             asked, connect, verbose = got
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -15,7 +15,7 @@
 from bramblestile import sockets
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
-from bramblestile.memory.lobby import Lobby
+from bramblestile.memory.pending import PendingDownstreams
 from bramblestile.sockets import Address
 
 BACKLOG = 1024
@@ -48,10 +48,10 @@
         serve: Serve,
         counters: Counters,
         name: str,
-        lobby: Lobby | None = None,
+        pending_downstreams: PendingDownstreams | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        self._lobby = lobby  # None: what comes here is bounded elsewhere
+        self._pending_downstreams = pending_downstreams  # None: what comes here is bounded elsewhere
         self._serve = serve
         self._counters = counters
         self._name = name
@@ -92,8 +92,8 @@
 
     def _accept(self) -> None:
         while not self._stopped:
-            if self._lobby is not None:
-                self._lobby.make_room()
+            if self._pending_downstreams is not None:
+                self._pending_downstreams.wait_for_room()
             try:
                 sock = self._next()
                 if sock is None:
@@ -104,13 +104,13 @@
                 # Out of descriptors, or the downstream left before we came: neither may end the listener.
                 self._counters.add("accept_failed")
                 self._log.warning_rate_limited("accept failed", error=repr(error))
-                if self._lobby is not None and error.errno in (errno.EMFILE, errno.ENFILE):
-                    self._lobby.send_oldest_away()
+                if self._pending_downstreams is not None and error.errno in (errno.EMFILE, errno.ENFILE):
+                    self._pending_downstreams.evict_oldest()
                 time.sleep(0.01)
                 continue
             self._counters.add(f"{self._name}_accepted")
-            if self._lobby is not None:
-                self._lobby.enter(sock)
+            if self._pending_downstreams is not None:
+                self._pending_downstreams.add(sock)
             try:
                 self.run(partial(self._live, sock))
             except RuntimeError:
@@ -150,8 +150,8 @@
 
     def _done(self, sock: socket.socket) -> None:
         sock.close()
-        if self._lobby is not None:
-            self._lobby.leave(sock)
+        if self._pending_downstreams is not None:
+            self._pending_downstreams.remove(sock)
 
     def stop(self) -> None:
         """Nothing more is taken; what was taken goes on. An inherited socket listens on for whoever else has it."""
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -48,7 +48,7 @@
     def settings(self) -> Any:
         front = self.daemon.lines
         assert front is not None
-        return front.config, front.decisions._balancer.settings, front.lobby.most, self.daemon.config
+        return front.config, front.decisions._balancer.settings, front.pending_downstreams.limit, self.daemon.config
 
 
 @pytest.fixture
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramblestile.memory.lobby import Lobby
+from bramblestile.memory.pending import PendingDownstreams
 from bramblestile.process import front
 from bramblestile.wire import nats
 from tests.scenario import WIRES, Stage
@@ -89,11 +89,11 @@
 
 def test_out_of_descriptors_the_oldest_goes_however_young() -> None:
     ours, theirs = zip(*(socket.socketpair() for _ in range(2)), strict=True)
-    lobby = Lobby(2)
+    lobby = PendingDownstreams(2)
     for sock in ours:
-        lobby.enter(sock)
-    lobby.send_oldest_away()
-    assert ours[0].recv(1) == b"" and not lobby.leave(ours[0]) and lobby.leave(ours[1])
+        lobby.add(sock)
+    lobby.evict_oldest()
+    assert ours[0].recv(1) == b"" and not lobby.remove(ours[0]) and lobby.remove(ours[1])
     for sock in ours + theirs:
         sock.close()
 
