--- a/bramblestile/operations/succession.py
+++ b/bramblestile/operations/succession.py
@@ -98,7 +98,7 @@
             self._tell_learned(link)  # what was sent to cold hosts since it was told first
         self.pause_signal.set()
 
-    def take(self, standing: ProxiedConnection, request: api.Request) -> bool:
+    def hand_over(self, standing: ProxiedConnection, request: api.Request) -> bool:
         """The successor's word on a frozen connection. Where it has ended, nobody else carries it; where it lives and
         says nothing, it may."""
         with self._lock:
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -70,7 +70,7 @@
     known_version: int
     known: tuple[UpstreamHost, ...]
     settings: api.Settings
-    connect_within: timedelta = CONNECT_WITHIN
+    connect_timeout: timedelta = CONNECT_WITHIN
     probe_within: timedelta = PROBE_WITHIN
     checks: Mapping[str, agent.Check] = field(default_factory=dict)
     check_every: timedelta = CHECK_EVERY
@@ -254,7 +254,7 @@
         known_version=known.integer("seq", 0),
         known=hosts,
         settings=_settings(owner),
-        connect_within=limits.micros("connect_timeout_us", CONNECT_WITHIN),
+        connect_timeout=limits.micros("connect_timeout_us", CONNECT_WITHIN),
         probe_within=spans.micros("probe_us", PROBE_WITHIN),
         checks=_checks(at.section("checks"), {h.id for h in hosts}),
         check_every=spans.micros("check_us", CHECK_EVERY, 10_000),
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -19,7 +19,7 @@
 
 from bramblestile import __version__, log, sockets
 from bramblestile.clock import ZERO_DURATION, now
-from bramblestile.life import adopt
+from bramblestile.life import adopt_connection
 from bramblestile.log import Log
 from bramblestile.memory.connections import ProxiedConnection
 from bramblestile.memory.counters import Counters
@@ -198,7 +198,7 @@
                     self.lines.decisions.export_state,
                     self._recall,
                 )
-                self.lines.house.heir = self.succession
+                self.lines.context.successor = self.succession
 
     def start(self) -> None:
         self._trace(self.config.trace)  # first: the trace begins with the list that the fronts start from
@@ -269,7 +269,7 @@
         standing, request = unpacked(message, downstream, upstream)
         for side in (downstream, upstream):
             sockets.set_options(side)
-        return adopt(self.lines.house, standing, request, self.lines.listener.run)
+        return adopt_connection(self.lines.context, standing, request, self.lines.listener.run)
 
     def _take_from_inherited(self) -> None:
         if self.lines is not None and self.lines.inherited is not None and self.lines.listener is not None:
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -12,7 +12,7 @@
 
 from bramblestile import sockets
 from bramblestile.clock import ZERO_DURATION, now
-from bramblestile.life import House, live
+from bramblestile.life import ServingContext, serve_request
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.memory.connections import Connections, DelayMonitor, ProxiedConnection
@@ -91,13 +91,13 @@
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
         self.connections = Connections(self.mute, self.hush)
         self.delays = DelayMonitor(noted_from(config.settings), self._note_delay)
-        self.house = House(
+        self.context = ServingContext(
             self.decisions,
             self.cluster,
             self.connections,
             counters,
             self,
-            config.connect_within,
+            config.connect_timeout,
             self.host_drains,
             self._dial,
             self.tracing,
@@ -133,11 +133,11 @@
 
     before_tls: Callable[[Transport, timedelta], bytes] | None = None  # what the protocol says before TLS begins
 
-    def _dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
+    def _dial(self, host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
         """Whatever the configuration of the moment says: a reload may begin or end TLS."""
         if self.tls is None:
-            return plain(host, connect_within, until)
-        return self.tls.dial(host, connect_within, until)
+            return plain(host, connect_timeout, until)
+        return self.tls.dial(host, connect_timeout, until)
 
     def warmth(self, host: UpstreamHost, later: timedelta = ZERO_DURATION) -> float:
         """The part of its capacity that a host has by now, or so much later, as the module reckons it (``rules.py``,
@@ -209,7 +209,7 @@
         take_tls()
         self.decisions.reconfigure(config.settings)
         self.delays.threshold = noted_from(config.settings)
-        self.house.connect_within, self.probes.within = config.connect_within, config.probe_within
+        self.context.connect_timeout, self.probes.within = config.connect_timeout, config.probe_within
         self.pending_downstreams.limit = config.pending_downstreams
         self._follow(old.discovery, config)
         if (config.checks, config.check_every) != (old.checks, old.check_every):
@@ -341,7 +341,7 @@
         if not self._admits(sock):
             self._turn_away(sock, lines.FULL)
             return
-        live(self.house, lines.LineDownstream(sock, reader, asked, head), asked)
+        serve_request(self.context, lines.LineDownstream(sock, reader, asked, head), asked)
 
 
 class _Names:
@@ -419,4 +419,6 @@
             self._turn_away(sock, nats.error(nats.FULL))
         elif got is not None:
             asked, connect, verbose = got
-            live(self.house, nats.NatsDownstream(sock, reader, self.greeting, asked, connect, verbose), asked)
+            serve_request(
+                self.context, nats.NatsDownstream(sock, reader, self.greeting, asked, connect, verbose), asked
+            )
--- a/bramblestile/dialect.py
+++ b/bramblestile/protocol.py
@@ -15,12 +15,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class ClientRequest:
     """A downstream's wish for a connection. ``wait``: how long it waits for the answer."""
 
     id: str
     cls: str
-    wait: timedelta
+    timeout: timedelta
     tenant: str | None = None
     key: int | None = None
     group: int | None = None
@@ -31,14 +31,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Up:
+class Established:
     """The upstream host has taken the connection; ``standing`` carries it to its end."""
 
-    standing: ProxiedConnection
+    connection: ProxiedConnection
 
 
 @dataclass(slots=True, frozen=True)
-class NotUp:
+class NotEstablished:
     """An upstream request's end without a connection."""
 
     status: Status
@@ -47,7 +47,7 @@
     detail: str = ""  # what the status does not tell, for the trace and the log
 
 
-Answer = Up | NotUp
+UpstreamAnswer = Established | NotEstablished
 
 
 class Downstream(Protocol):
@@ -55,29 +55,31 @@
 
     def has_disconnected(self) -> bool: ...
 
-    def refuse(self, come_back: timedelta) -> None:
+    def refuse(self, retry_after: timedelta) -> None:
         """Local reply: refused, trying again is harmless."""
 
     def fail(self) -> None:
         """Local reply: failed, nothing is promised."""
 
-    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
+    def upstream_request(
+        self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
+    ) -> UpstreamAnswer:
         """One upstream request. ``may_send`` is held after dialling, while the first bytes go."""
 
 
 class Dial(Protocol):
     """A connection to the upstream host that was chosen: its socket, or a channel over it."""
 
-    def __call__(self, connect_within: timedelta, until: timedelta) -> Transport:
+    def __call__(self, connect_timeout: timedelta, until: timedelta) -> Transport:
         """``connect_within`` bounds the connection, ``until`` all that comes before the first byte. OSError; one that
         is a DialError tells more."""
 
 
 # How a front dials its upstream hosts: the host, and the two bounds of a Dial.
-Upstream = Callable[[UpstreamHost, timedelta, timedelta], Transport]
+DialHost = Callable[[UpstreamHost, timedelta, timedelta], Transport]
 
 
-class CanSend(Protocol):
+class SendGuard(Protocol):
     """Held around the first bytes of an upstream request: whether they may still go."""
 
     def __call__(self) -> AbstractContextManager[bool]: ...
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -105,7 +105,7 @@
 
     # On the way of a request.
 
-    def dial(self, host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
+    def dial(self, host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
         """A channel to a host that has proved itself. OSError."""
         trust, name, key = self._sought(host)
         with self._lock:
@@ -114,7 +114,7 @@
         if problem is not None:  # the list may have brought the request here before it heard
             raise RefusedError(host.id, problem)
         ticket = self._pay(host, key, until)
-        return self._connect(host, trust, name, key, ticket, connect_within, until)[0]
+        return self._connect(host, trust, name, key, ticket, connect_timeout, until)[0]
 
     def _sought(self, host: UpstreamHost) -> tuple[Trust, Name, Key]:
         """By which files, and as whom, this host is dialled."""
@@ -156,11 +156,11 @@
         name: Name,
         key: Key,
         ticket: Ticket | None,
-        connect_within: timedelta,
+        connect_timeout: timedelta,
         until: timedelta,
     ) -> tuple[TlsChannel, Seen]:
         try:
-            sock = sockets.dial(host.address, min(connect_within, until - now()))
+            sock = sockets.dial(host.address, min(connect_timeout, until - now()))
         except OSError:
             with self._lock:
                 self._budget.give_back(host.id, ticket is not None, self._clock())
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -8,8 +8,8 @@
 
 from bramblestile import sockets
 from bramblestile.clock import now
-from bramblestile.dialect import Answer, Asked, CanSend, Dial, NotUp, Up
 from bramblestile.memory.cluster import UpstreamHost
+from bramblestile.protocol import ClientRequest, Dial, Established, NotEstablished, SendGuard, UpstreamAnswer
 from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
@@ -19,7 +19,7 @@
 class SocketDownstream(ABC):
     """A downstream on a socket whose first words have been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, asked: Asked) -> None:
+    def __init__(self, sock: socket.socket, reader: LineReader, asked: ClientRequest) -> None:
         self._sock = sock
         self._reader = reader  # holds what the downstream sent beyond its first words
         self._asked = asked
@@ -28,36 +28,38 @@
         return sockets.has_disconnected(self._sock)
 
     @abstractmethod
-    def refuse(self, come_back: timedelta) -> None: ...
+    def refuse(self, retry_after: timedelta) -> None: ...
 
     @abstractmethod
     def fail(self) -> None: ...
 
     @abstractmethod
-    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer: ...
+    def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer: ...
 
     def _reply(self, line: bytes) -> None:
         sockets.reply_and_close(self._sock, line)
 
-    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
+    def upstream_request(
+        self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
+    ) -> UpstreamAnswer:
         """Dials and asks; the connection is closed unless the answer keeps it."""
         try:
-            upstream = dial(min(connect_within, until - now()), until)
+            upstream = dial(min(connect_timeout, until - now()), until)
         except sockets.DialError as error:
-            return NotUp(Status.NOT_SENT if error.skipped else Status.NO_ROUTE, detail=str(error))
+            return NotEstablished(Status.NOT_SENT if error.skipped else Status.NO_ROUTE, detail=str(error))
         except OSError:
-            return NotUp(Status.NO_ROUTE)
-        answer: Answer | None = None
+            return NotEstablished(Status.NO_ROUTE)
+        answer: UpstreamAnswer | None = None
         try:
-            answer = self._ask(upstream, until, may_send)
+            answer = self._ask(upstream, until, send_guard)
             return answer
         finally:
-            if not isinstance(answer, Up):
+            if not isinstance(answer, Established):
                 sockets.close(upstream)
             elif isinstance(upstream, sockets.Channel):
                 upstream.setblocking(True)
 
 
-def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Transport:
+def plain(host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
     """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
-    return sockets.dial(host.address, connect_within)
+    return sockets.dial(host.address, connect_timeout)
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -10,9 +10,9 @@
 
 from bramblestile import sockets
 from bramblestile.clock import MICROSECOND, ZERO_DURATION, now, to_milliseconds
-from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Message, MessageKind, ProxiedConnection
+from bramblestile.protocol import ClientRequest, DialHost, Established, NotEstablished, SendGuard, UpstreamAnswer
 from bramblestile.sockets import LineReader, Transport, decode_line
 from bramblestile.wire.common import SocketDownstream, plain
 from vanegw.interface import Report, Status
@@ -65,7 +65,7 @@
         return [view[: self.d_start], b"%d" % max(1, to_milliseconds(wait)), view[self.d_end :]]
 
 
-def parse_open(line: memoryview) -> tuple[Asked, Head]:
+def parse_open(line: memoryview) -> tuple[ClientRequest, Head]:
     """``OPEN ID KEY NAME=VALUE,...``; names that are not known are passed on and ignored."""
     raw = bytes(line)
     words = raw.rstrip(b"\r\n").split(b" ")
@@ -89,7 +89,7 @@
     hint = _number(values["h"].encode()) if values.get("h") else None
     if hint is not None and not 0 <= hint < LARGEST_HINT:
         raise MalformedError(f"h: {values['h'][:20]!r}")
-    asked = Asked(
+    asked = ClientRequest(
         str(words[1], "ascii", "replace"),
         values.get("c", ""),
         wait - WAY_BACK,
@@ -179,42 +179,42 @@
 class LineDownstream(SocketDownstream):
     """One client of the platform, whose first line has been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, asked: Asked, head: Head) -> None:
+    def __init__(self, sock: socket.socket, reader: LineReader, asked: ClientRequest, head: Head) -> None:
         super().__init__(sock, reader, asked)
         self._head = head
 
-    def refuse(self, come_back: timedelta) -> None:
-        ms = to_milliseconds(come_back)
+    def refuse(self, retry_after: timedelta) -> None:
+        ms = to_milliseconds(retry_after)
         self._reply(b"BUSY %d\r\n" % ms if ms > 0 else b"BUSY\r\n")
 
     def fail(self) -> None:
         self._reply(FAILED)
 
-    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer:
+    def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
         # A bound connection's line goes as it came: the host knows it by what it was.
         bound = self._asked.bound_to is not None
         try:
-            with may_send() as allowed:
+            with send_guard() as allowed:
                 if not allowed:  # a host that began to drain while we dialled must not get the request
-                    return NotUp(Status.NO_ROUTE)
+                    return NotEstablished(Status.NO_ROUTE)
                 sockets.write(upstream, [self._head.line] if bound else self._head.parts(until - now()))
         except OSError:
-            return NotUp(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
+            return NotEstablished(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
         reader = LineReader(upstream, LONGEST)
         try:
             line = reader.line(max(until - now(), ZERO_DURATION), abort_on=self._sock)
         except TimeoutError:
-            return NotUp(Status.TIMED_OUT)
+            return NotEstablished(Status.TIMED_OUT)
         except InterruptedError:
-            return NotUp(Status.CANCELLED, downstream_left=True)
+            return NotEstablished(Status.CANCELLED, downstream_left=True)
         except (OSError, sockets.LineTooLongError):
-            return NotUp(Status.CUT)
+            return NotEstablished(Status.CUT)
         if line is None:
-            return NotUp(Status.CUT)
+            return NotEstablished(Status.CUT)
         word = decode_line(line).partition(" ")[0]
         if word != "UP":
-            return NotUp(OUTCOMES.get(word, Status.ERROR), host_drains=word == "MOVE")
-        return Up(
+            return NotEstablished(OUTCOMES.get(word, Status.ERROR), host_drains=word == "MOVE")
+        return Established(
             connection(
                 self._asked.id,
                 "",
@@ -251,7 +251,7 @@
 class Prober:
     """The load of one upstream host, asked over a connection that is kept while it lasts."""
 
-    def __init__(self, dial: Upstream = plain) -> None:
+    def __init__(self, dial: DialHost = plain) -> None:
         self._dial = dial
         self._sock: Transport | None = None
         self._reader: LineReader | None = None
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -17,9 +17,9 @@
 
 from bramblestile import sockets
 from bramblestile.clock import ZERO_DURATION, now, to_milliseconds
-from bramblestile.dialect import Answer, Asked, CanSend, NotUp, Up, Upstream
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.connections import Message, MessageKind, ProtocolViolationError, ProxiedConnection
+from bramblestile.protocol import ClientRequest, DialHost, Established, NotEstablished, SendGuard, UpstreamAnswer
 from bramblestile.sockets import Address, LineReader, Transport, decode_line
 from bramblestile.wire.common import MOST_PINGS, SocketDownstream, plain
 from vanegw.interface import Report, Status
@@ -87,7 +87,7 @@
 
 def read_connect(
     sock: socket.socket, reader: LineReader, greeting: Greeting, waits: Mapping[str, timedelta]
-) -> tuple[Asked, bytes, bool] | None:
+) -> tuple[ClientRequest, bytes, bool] | None:
     """The client's CONNECT: what it asks for, the line as it came, whether it is verbose. None: it left."""
     until = now() + CONNECT_WITHIN
     for _ in range(MOST_PINGS):
@@ -118,7 +118,7 @@
     # Clients of one name work on the same collection: they are a group to the module.
     tag = blake2b(name.encode(), digest_size=6).digest() if isinstance(name, str) else None
     group = int.from_bytes(tag, "big") if tag else None
-    asked = Asked(uuid.uuid4().hex, user.cls, waits[user.cls], user.tenant, group=group)
+    asked = ClientRequest(uuid.uuid4().hex, user.cls, waits[user.cls], user.tenant, group=group)
     return asked, bytes(line), verbose
 
 
@@ -136,7 +136,7 @@
     return Status.NO_ROOM if b"maximum" in said and b"connections exceeded" in said else Status.ERROR
 
 
-def drains_no_more(dial: Upstream, host: UpstreamHost, within: timedelta) -> bool:
+def drains_no_more(dial: DialHost, host: UpstreamHost, within: timedelta) -> bool:
     """Reads a host's INFO, sends nothing, and leaves."""
     try:
         sock = dial(host, within, now() + within)
@@ -216,56 +216,62 @@
     """One NATS client, whose CONNECT has been read."""
 
     def __init__(
-        self, sock: socket.socket, reader: LineReader, greeting: Greeting, asked: Asked, connect: bytes, verbose: bool
+        self,
+        sock: socket.socket,
+        reader: LineReader,
+        greeting: Greeting,
+        asked: ClientRequest,
+        connect: bytes,
+        verbose: bool,
     ) -> None:
         super().__init__(sock, reader, asked)
         self._greeting = greeting
         self._connect = connect
         self._verbose = verbose
 
-    def refuse(self, come_back: timedelta) -> None:
-        ms = to_milliseconds(come_back)
+    def refuse(self, retry_after: timedelta) -> None:
+        ms = to_milliseconds(retry_after)
         self._reply(error(f"{FULL}, come back in {ms} ms" if ms > 0 else FULL))
 
     def fail(self) -> None:
         self._reply(FAILED)
 
-    def _ask(self, upstream: Transport, until: timedelta, may_send: CanSend) -> Answer:
+    def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
         reader = LineReader(upstream, LONGEST * 4)  # an INFO may be longer than a client's lines
         sent = False
         while True:
             try:
                 line = reader.line(max(until - now(), ZERO_DURATION), abort_on=self._sock)
             except TimeoutError:
-                return NotUp(Status.TIMED_OUT if sent else Status.NO_ROUTE)
+                return NotEstablished(Status.TIMED_OUT if sent else Status.NO_ROUTE)
             except InterruptedError:
-                return NotUp(Status.CANCELLED, downstream_left=True)
+                return NotEstablished(Status.CANCELLED, downstream_left=True)
             except (OSError, sockets.LineTooLongError):
                 line = None
             if line is None:
-                return NotUp(Status.CUT if sent else Status.NO_ROUTE)
+                return NotEstablished(Status.CUT if sent else Status.NO_ROUTE)
             said = bytes(line).strip()
             word = said.partition(b" ")[0].upper()
             if word == b"INFO":
                 if is_ldm(said):  # it drains: before CONNECT nothing ran, after it the client is sent away
-                    return NotUp(Status.CANCELLED if sent else Status.NO_ROOM, host_drains=True)
+                    return NotEstablished(Status.CANCELLED if sent else Status.NO_ROOM, host_drains=True)
                 if not sent:
                     try:
-                        with may_send() as allowed:
+                        with send_guard() as allowed:
                             if not allowed:
-                                return NotUp(Status.NO_ROUTE)
+                                return NotEstablished(Status.NO_ROUTE)
                             sockets.write(upstream, [self._connect, PING])
                     except OSError:
-                        return NotUp(Status.NO_ROUTE)
+                        return NotEstablished(Status.NO_ROUTE)
                     sent = True
             elif word == b"-ERR":
-                return NotUp(error_status(said))
+                return NotEstablished(error_status(said))
             elif word == b"PING":
                 sockets.write(upstream, [PONG])  # the host measures its way; the client is not there yet
             elif word == b"PONG" and sent:
-                return Up(self._standing(upstream, reader))
+                return Established(self._standing(upstream, reader))
             elif word != b"+OK":
-                return NotUp(Status.ERROR)
+                return NotEstablished(Status.ERROR)
 
     def _standing(self, upstream: Transport, reader: LineReader) -> ProxiedConnection:
         greeting = self._greeting
@@ -287,7 +293,7 @@
 class Prober:
     """NATS hosts report no load: a probe tells whether one answers PING."""
 
-    def __init__(self, dial: Upstream = plain) -> None:
+    def __init__(self, dial: DialHost = plain) -> None:
         self._dial = dial
 
     def ask(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
