--- a/bramblestile/cli/store.py
+++ b/bramblestile/cli/store.py
@@ -27,7 +27,7 @@
     except ValueError as error:
         raise Refused(f"PEER: {error}") from None
     try:
-        answer = peers.call(address, said, WITHIN)
+        answer = peers.send_command(address, said, WITHIN)
     except (OSError, ValueError) as error:
         raise Failed(f"store: {peer}: {error}") from None
     if not answer.get("ok"):
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -72,7 +72,7 @@
     settings: api.Settings
     connect_timeout: timedelta = CONNECT_WITHIN
     probe_within: timedelta = PROBE_WITHIN
-    checks: Mapping[str, agent.Check] = field(default_factory=dict)
+    checks: Mapping[str, agent.CheckTarget] = field(default_factory=dict)
     check_every: timedelta = CHECK_EVERY
     pending_downstreams: int = LOBBY_MOST  # downstreams that are no request yet
     tls: TlsConfig | None = None  # to the upstream hosts; None: off
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NatsConfig(FrontConfig):
-    greeting: nats.Greeting = field(kw_only=True)
+    server_info: nats.ServerInfo = field(kw_only=True)
 
 
 @dataclass(slots=True, frozen=True)
@@ -307,7 +307,7 @@
     return max(LOBBY_LEAST, min(LOBBY_MOST, memory, descriptors // LOBBY_SHARE))
 
 
-def _checks(at: Section, known: set[str]) -> dict[str, agent.Check]:
+def _checks(at: Section, known: set[str]) -> dict[str, agent.CheckTarget]:
     """For each upstream host its agent's address, or ``http`` and ``path``."""
     made = {}
     for name in at.values:
@@ -317,7 +317,9 @@
         if one.has("agent") == one.has("http"):
             raise ConfigError(f"{one.path}: agent or http, one of the two")
         made[name] = (
-            agent.Check(one.address("agent")) if one.has("agent") else agent.Check(one.address("http"), _path(one))
+            agent.CheckTarget(one.address("agent"))
+            if one.has("agent")
+            else agent.CheckTarget(one.address("http"), _path(one))
         )
     return made
 
@@ -451,14 +453,14 @@
         return nats.User(cls, section.text("tenant") if section.has("tenant") else None)
 
     users = at.section("users")
-    greeting = nats.Greeting(
+    server_info = nats.ServerInfo(
         name=front.name,
         address=front.listen,
         default=user(at.section("default")),
         users={name: user(users.section(name)) for name in users.values},
         max_payload=at.integer("max_payload", 1 << 20, 1),
     )
-    return NatsConfig(**{f: getattr(front, f) for f in FrontConfig.__slots__}, greeting=greeting)
+    return NatsConfig(**{f: getattr(front, f) for f in FrontConfig.__slots__}, server_info=server_info)
 
 
 def read(values: Mapping[str, Any], environment: Mapping[str, str] | None = None) -> Config:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -49,7 +49,7 @@
     from bramblestile.fleet.gossip import Gossip
     from bramblestile.store.service import Store
     from bramblestile.trace.recorder import Recorder
-    from bramblestile.wire.peers import Peers
+    from bramblestile.wire.peers import PeerSender
     from bramblestile.work.planner import MachineView
     from bramblestile.work.service import MaintenanceService, RoutingConstraints
 
@@ -147,7 +147,7 @@
         self.recorder: Recorder | None = None
         self.leaving = False
         self.stopping = threading.Event()
-        self.peers: Peers | None = None
+        self.peers: PeerSender | None = None
         self.store: Store | None = None
         if config.store is not None:
             self._make_store(config.store, config.seed)
@@ -225,8 +225,13 @@
         if self.config.store is not None and self.store is not None and self.peers is not None:
             self._start_store(self.config.store, self.store, self.peers)
         asked = (
-            ("agent", self.health.agent, "agent_check", lambda sock: agent.answer_agent(sock, self.is_well)),
-            ("http", self.health.http, "health", lambda sock: agent.answer_http(sock, self.is_well, self.health.path)),
+            ("agent", self.health.agent, "agent_check", lambda sock: agent.serve_agent_check(sock, self.is_well)),
+            (
+                "http",
+                self.health.http,
+                "health",
+                lambda sock: agent.serve_http_check(sock, self.is_well, self.health.path),
+            ),
         )
         for key, address, name, answer in asked:
             if address is not None:
@@ -400,9 +405,9 @@
         from bramblestile.store.journal import Journal, JournalError
         from bramblestile.store.replica import Replica
         from bramblestile.store.service import Store
-        from bramblestile.wire.peers import Peers
+        from bramblestile.wire.peers import PeerSender
 
-        self.peers = Peers(made.peers, made.name, self.counters)
+        self.peers = PeerSender(made.peers, made.name, self.counters)
         try:
             journal = Journal(made.directory / f"{made.name}.journal")
         except (JournalError, OSError) as error:
@@ -410,7 +415,7 @@
         replica = Replica(made.name, list(made.peers), journal, Random(f"{seed} {made.name}"), now())
         self.store = Store(replica, self.peers.send, self.stored)
 
-    def _start_store(self, made: StoreConfig, store: Store, ways: Peers) -> None:
+    def _start_store(self, made: StoreConfig, store: Store, ways: PeerSender) -> None:
         from bramblestile.wire import peers
 
         def serve(sock: socket.socket) -> None:
@@ -428,7 +433,7 @@
         kind, _, name = key.partition("/")
         if kind == "hosts":
             for front in self.fronts:
-                front.checked(name, agent.parse_agent(value))
+                front.checked(name, agent.parse_agent_line(value))
 
     def stop_store(self) -> None:
         if self.store is not None and self.peers is not None:
@@ -476,7 +481,7 @@
             if front.config.settings.may_probe and front.config.settings.reports_load:
                 for host in front.cluster.hosts():
                     if host.id in wanted and host.state is State.RUNNING:
-                        front.probes.ask(host.id, beside=False)
+                        front.probes.request(host.id, even_if_queued=False)
 
     def suspended_hosts(self) -> list[str]:
         return sorted(self.kept.orders.suspended)
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -24,11 +24,11 @@
 from bramblestile.sockets import Address, Transport
 from bramblestile.tracing import TracerHandle
 from bramblestile.wire import lines, nats
-from bramblestile.wire.agent import Opinion
-from bramblestile.wire.checks import Checks
-from bramblestile.wire.common import MOST_PINGS, plain
-from bramblestile.wire.discovery import Watch
-from bramblestile.wire.probes import Ask, Probes
+from bramblestile.wire.agent import CheckResult
+from bramblestile.wire.checks import HealthChecker
+from bramblestile.wire.common import MAX_PINGS, dial_plain
+from bramblestile.wire.discovery import DiscoveryWatch
+from bramblestile.wire.probes import ProbeHost, ProbeRunner
 from vanegw import interface as api
 
 if TYPE_CHECKING:
@@ -104,9 +104,9 @@
             self.name,
         )
         self.tls = None if config.tls is None else self._make_tls(config.tls)
-        self.probes = Probes(self.cluster, self.prober, config.probe_within, self.decisions.handle_event, counters)
+        self.probes = ProbeRunner(self.cluster, self.prober, config.probe_within, self.decisions.handle_event, counters)
         self.watch = None if config.discovery is None else self._make_watch(config.discovery, config.known_version)
-        self.checks = Checks(config.checks, config.check_every, self.checked, counters)
+        self.checks = HealthChecker(config.checks, config.check_every, self.checked, counters)
         self.pending_downstreams = PendingDownstreams(config.pending_downstreams)
         self.listener: Listener | None = None
         self.inherited: socket.socket | None = None  # a listening socket that others hold too; None: one of our own
@@ -136,7 +136,7 @@
     def _dial(self, host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
         """Whatever the configuration of the moment says: a reload may begin or end TLS."""
         if self.tls is None:
-            return plain(host, connect_timeout, until)
+            return dial_plain(host, connect_timeout, until)
         return self.tls.dial(host, connect_timeout, until)
 
     def warmth(self, host: UpstreamHost, later: timedelta = ZERO_DURATION) -> float:
@@ -173,7 +173,7 @@
     def start(self) -> None:
         if self.tls is not None:
             self.tls.start()
-        self.decisions.on_probe = self.probes.ask
+        self.decisions.on_probe = self.probes.request
         self.decisions.on_move = self.connections.move
         if self.watch is not None:
             self._start_watch(self.watch)
@@ -188,16 +188,16 @@
         if self.inherited is None:
             self.listener.start()
 
-    def _make_watch(self, discovery: Address, version: int | None) -> Watch:
-        return Watch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text))
+    def _make_watch(self, discovery: Address, version: int | None) -> DiscoveryWatch:
+        return DiscoveryWatch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text))
 
     def _told(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         self.decisions.update_list(mode, hosts)
         if mode is not api.ListMode.UNAVAILABLE:
             self.heard.set()
 
-    def _start_watch(self, watch: Watch) -> None:
-        self.decisions.on_subscribe = watch.ask
+    def _start_watch(self, watch: DiscoveryWatch) -> None:
+        self.decisions.on_subscribe = watch.trigger
         watch.start()
 
     def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
@@ -209,14 +209,14 @@
         take_tls()
         self.decisions.reconfigure(config.settings)
         self.delays.threshold = noted_from(config.settings)
-        self.context.connect_timeout, self.probes.within = config.connect_timeout, config.probe_within
+        self.context.connect_timeout, self.probes.answer_timeout = config.connect_timeout, config.probe_within
         self.pending_downstreams.limit = config.pending_downstreams
         self._follow(old.discovery, config)
         if (config.checks, config.check_every) != (old.checks, old.check_every):
             self.checks.stop()
             for name in old.checks:  # what an ended check has said last must not hold for ever
-                self.checked(name, Opinion(takes_work=True, share=1.0))
-            self.checks = Checks(config.checks, config.check_every, self.checked, self.counters)
+                self.checked(name, CheckResult(takes_work=True, share=1.0))
+            self.checks = HealthChecker(config.checks, config.check_every, self.checked, self.counters)
             self.checks.start()
 
     def _follow(self, old: Address | None, config: FrontConfig) -> None:
@@ -229,9 +229,9 @@
         elif self.watch is None:
             self.watch = self._make_watch(config.discovery, None)
             self._start_watch(self.watch)
-            self.watch.ask()
+            self.watch.trigger()
         elif config.discovery != old:
-            self.watch.follow(config.discovery)
+            self.watch.switch_to(config.discovery)
 
     def stop(self) -> None:
         """Asks nobody anything more and accepts nothing more; what stands is not touched."""
@@ -244,7 +244,7 @@
         if self.listener is not None:
             self.listener.stop()
 
-    def prober(self) -> tuple[Ask, Callable[[], None]]:
+    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
         raise NotImplementedError
 
     def serve(self, sock: socket.socket) -> None:
@@ -294,7 +294,7 @@
         if self.decisions.mark_draining(name):
             self.counters.add("told_draining_by_host")
 
-    def checked(self, name: str, opinion: Opinion) -> None:
+    def checked(self, name: str, opinion: CheckResult) -> None:
         if self.decisions.apply_check(name, opinion.takes_work, opinion.share):
             self.counters.add("checks_changed_a_host")
             self.log.info("check", host=name, takes_work=opinion.takes_work, share=opinion.share)
@@ -311,35 +311,35 @@
     name = "lines"
     key = "listen"
 
-    def prober(self) -> tuple[Ask, Callable[[], None]]:
+    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
         prober = lines.Prober(self._dial)
-        return prober.ask, prober.close
+        return prober.probe, prober.close
 
     def serve(self, sock: socket.socket) -> None:
         """The first line of a downstream: a health check, or a request whose life begins."""
-        reader = sockets.LineReader(sock, lines.LONGEST)
+        reader = sockets.LineReader(sock, lines.MAX_LINE_BYTES)
         until = now() + FIRST_LINE
         try:
-            for _ in range(MOST_PINGS):
+            for _ in range(MAX_PINGS):
                 line = reader.line(until - now())
                 if line is None:
                     if self.pending_downstreams.was_evicted(sock):
-                        self._turn_away(sock, lines.FULL)
+                        self._turn_away(sock, lines.BUSY)
                     return
                 if sockets.decode_line(line) != "PING":
                     break
-                sockets.write(sock, [lines.FULL if self.away else lines.PONG])
+                sockets.write(sock, [lines.BUSY if self.away else lines.PONG])
             else:
                 raise lines.MalformedError("PING and nothing else")
             asked, head = lines.parse_open(line)
         except TimeoutError:
-            self._turn_away(sock, lines.FAILED)
+            self._turn_away(sock, lines.ERR)
             return
         except (sockets.LineTooLongError, lines.MalformedError) as error:
-            self._reject(sock, lines.FAILED, error)
+            self._reject(sock, lines.ERR, error)
             return
         if not self._admits(sock):
-            self._turn_away(sock, lines.FULL)
+            self._turn_away(sock, lines.BUSY)
             return
         serve_request(self.context, lines.LineDownstream(sock, reader, asked, head), asked)
 
@@ -380,7 +380,7 @@
         while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
             if self.stopped.wait(LOOK_AGAIN.total_seconds()):
                 return
-            if nats.drains_no_more(self._dial, host, self.config.probe_within):
+            if nats.has_stopped_draining(self._dial, host, self.config.probe_within):
                 self.decisions.apply_check(name, takes_work=True)
                 break
         self._watched.discard(name)
@@ -391,7 +391,7 @@
         self._greet(config)
 
     def _greet(self, config: NatsConfig) -> None:
-        self.greeting = config.greeting
+        self.server_info = config.server_info
         self.waits = {c.name: timedelta(microseconds=c.deadline_us) for c in config.settings.classes}
 
     def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
@@ -400,25 +400,25 @@
         self._greet(config)
         super().reconfigure(config, take_tls)
 
-    def prober(self) -> tuple[Ask, Callable[[], None]]:
+    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
         prober = nats.Prober(self._dial)
-        return prober.ask, prober.close
+        return prober.probe, prober.close
 
     def serve(self, sock: socket.socket) -> None:
         if self.away:
-            self._turn_away(sock, nats.error(nats.FULL))
+            self._turn_away(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
             return
-        reader = sockets.LineReader(sock, nats.LONGEST)
-        sockets.write(sock, [self.greeting.info()])
+        reader = sockets.LineReader(sock, nats.MAX_LINE_BYTES)
+        sockets.write(sock, [self.server_info.info_line()])
         try:
-            got = nats.read_connect(sock, reader, self.greeting, self.waits)
-        except nats.RefusedError as error:
+            got = nats.read_connect(sock, reader, self.server_info, self.waits)
+        except nats.RejectedError as error:
             self._reject(sock, error.reply, error)
             return
         if (got is None and self.pending_downstreams.was_evicted(sock)) or (got is not None and not self._admits(sock)):
-            self._turn_away(sock, nats.error(nats.FULL))
+            self._turn_away(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
         elif got is not None:
             asked, connect, verbose = got
             serve_request(
-                self.context, nats.NatsDownstream(sock, reader, self.greeting, asked, connect, verbose), asked
+                self.context, nats.NatsDownstream(sock, reader, self.server_info, asked, connect, verbose), asked
             )
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -16,7 +16,7 @@
 from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.sockets import Address, LineReader, decode_line
 
-LONGEST = 4096
+MAX_LINE_BYTES = 4096
 WITHIN = timedelta(seconds=2)  # for the other side's request
 TAKES_WORK = {
     "up": True,
@@ -31,14 +31,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Opinion:
+class CheckResult:
     """What a check says. None: nothing, what was known stands. ``share`` is of the listed weight."""
 
     takes_work: bool | None = None
     share: float | None = None
 
 
-def parse_agent(line: str) -> Opinion:
+def parse_agent_line(line: str) -> CheckResult:
     """Words that are not known, such as a maxconn, are passed over; the last state and weight count."""
     takes_work, share = None, None
     for word in line.partition("#")[0].replace(",", " ").lower().split():
@@ -47,23 +47,23 @@
         elif word in TAKES_WORK and takes_work is not False:
             takes_work = TAKES_WORK[word]  # of 'ready down' the worse counts
     if share == 0:
-        return Opinion(False, None)  # a weight of nothing is a drain
-    return Opinion(takes_work, share)
+        return CheckResult(False, None)  # a weight of nothing is a drain
+    return CheckResult(takes_work, share)
 
 
 @dataclass(slots=True, frozen=True)
-class Check:
+class CheckTarget:
     """Where one upstream host answers: its agent, or its health path over HTTP."""
 
     address: Address
     path: str | None = None  # None: agent-check
 
 
-def ask(check: Check, within: timedelta) -> Opinion:
+def run_check(check: CheckTarget, within: timedelta) -> CheckResult:
     """One check. OSError when no sound answer comes in time."""
     until = now() + within
     with contextlib.closing(sockets.dial(check.address, within)) as sock:
-        reader = LineReader(sock, LONGEST)
+        reader = LineReader(sock, MAX_LINE_BYTES)
         try:
             if check.path is not None:
                 sockets.write(
@@ -74,11 +74,11 @@
             raise ConnectionError("an over-long answer") from None
         said = decode_line(line) if line is not None else reader.take_buffered().decode("ascii", "replace")
         if check.path is None:
-            return parse_agent(said)
+            return parse_agent_line(said)
         words = said.split()
         if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
             raise ConnectionError(f"not HTTP: {said[:40]!r}")
-        return Opinion(takes_work=200 <= int(words[1]) < 400)
+        return CheckResult(takes_work=200 <= int(words[1]) < 400)
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,26 +86,26 @@
     """What is said of this balancer: whether it takes work, and the share of its hosts that do."""
 
     takes_work: bool
-    leaving: bool = False
+    draining: bool = False
     share: float = 1.0
 
     def agent_line(self) -> bytes:
-        if self.leaving:
+        if self.draining:
             return b"drain\n"
         if not self.takes_work:
             return b"down\n"
         return b"up ready %d%%\n" % max(1, round(self.share * 100))
 
 
-def answer_agent(sock: socket.socket, health: Callable[[], Health]) -> None:
+def serve_agent_check(sock: socket.socket, health: Callable[[], Health]) -> None:
     """The answer does not wait for the other side to speak: an agent-send string is optional."""
     sockets.write(sock, [health().agent_line()])
     sockets.close(sock)
 
 
-def answer_http(sock: socket.socket, health: Callable[[], Health], path: str) -> None:
+def serve_http_check(sock: socket.socket, health: Callable[[], Health], path: str) -> None:
     """One GET or HEAD a connection: 200 while we take work, 503 when not, 404 for any other path."""
-    reader = LineReader(sock, LONGEST)
+    reader = LineReader(sock, MAX_LINE_BYTES)
     until = now() + WITHIN
     try:
         words = decode_line(reader.line(WITHIN) or memoryview(b"")).split(" ")
@@ -120,10 +120,10 @@
         status, body = b"405 Method Not Allowed", b"GET or HEAD\n"
     elif words[1].partition("?")[0] != path:
         status, body = b"404 Not Found", b"not found\n"
-    elif state.takes_work and not state.leaving:
+    elif state.takes_work and not state.draining:
         status, body = b"200 OK", b"ok\n"
     else:
-        status, body = b"503 Service Unavailable", b"leaving\n" if state.leaving else b"no upstream host\n"
+        status, body = b"503 Service Unavailable", b"leaving\n" if state.draining else b"no upstream host\n"
     head = b"HTTP/1.1 %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
     sockets.write(sock, [head % (status, len(body)), b"" if words[:1] == ["HEAD"] else body])
     sockets.close(sock)
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -13,7 +13,7 @@
 from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
-MOST_PINGS = 16  # before a request: a front asks once, and who asks on and on wants nothing else
+MAX_PINGS = 16  # before a request: a front asks once, and who asks on and on wants nothing else
 
 
 class SocketDownstream(ABC):
@@ -60,6 +60,6 @@
                 upstream.setblocking(True)
 
 
-def plain(host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
+def dial_plain(host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
     """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
     return sockets.dial(host.address, connect_timeout)
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -22,7 +22,7 @@
 SLACK = timedelta(seconds=2)  # discovery may take so long over its answer beyond the wait
 
 
-class BadAnswerError(Exception):
+class BadResponseError(Exception):
     """Discovery's answer is not what its page describes."""
 
 
@@ -59,16 +59,16 @@
     return found
 
 
-def read_list(body: bytes) -> tuple[int, ListMode, list[UpstreamHost]]:
+def parse_list(body: bytes) -> tuple[int, ListMode, list[UpstreamHost]]:
     try:
         got = json.loads(body)
         mode = ListMode.COMPLETE if got["whole"] else ListMode.CHANGES
         return int(got["seq"]), mode, hosts(got["hosts"])
     except (ValueError, KeyError, TypeError) as error:
-        raise BadAnswerError(str(error)) from None
+        raise BadResponseError(str(error)) from None
 
 
-class HttpCaller:
+class HttpClient:
     """Calls one after the other over a connection that is kept while the other side keeps it."""
 
     def __init__(self, to: Address) -> None:
@@ -87,7 +87,7 @@
             self.close()
             if not kept:
                 raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.LineTooLongError):
+        except (OSError, BadResponseError, sockets.LineTooLongError):
             self.close()
             raise
         try:  # the kept connection had gone stale: once more on a new one
@@ -95,7 +95,7 @@
         except EOFError:
             self.close()
             raise ConnectionResetError("discovery ended the connection") from None
-        except (OSError, BadAnswerError, sockets.LineTooLongError):
+        except (OSError, BadResponseError, sockets.LineTooLongError):
             self.close()
             raise
 
@@ -116,7 +116,7 @@
             while size := _chunk_size(decode_line(_line(reader, until))):
                 left -= size
                 if left < 0:
-                    raise BadAnswerError(f"more than {LARGEST} bytes in one answer")
+                    raise BadResponseError(f"more than {LARGEST} bytes in one answer")
                 parts.append(_exactly(self._sock, reader, size, until))
                 _line(reader, until)
             while decode_line(_line(reader, until)):
@@ -152,14 +152,14 @@
     """Status, length, whether the connection stays, whether the body comes in chunks."""
     words = decode_line(_line(reader, until)).split(" ")
     if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
-        raise BadAnswerError(f"not HTTP/1.1: {words[:2]}")
+        raise BadResponseError(f"not HTTP/1.1: {words[:2]}")
     length, keep, chunked = 0, words[0] == "HTTP/1.1", False
     while line := decode_line(_line(reader, until)):
         name, _, value = line.partition(":")
         name, value = name.strip().lower(), value.strip().lower()
         if name == "content-length":
             if not value.isdigit() or int(value) > LARGEST:
-                raise BadAnswerError(f"content-length {value!r}")
+                raise BadResponseError(f"content-length {value!r}")
             length = int(value)
         elif name == "connection" and value == "close":
             keep = False
@@ -171,13 +171,13 @@
 def _chunk_size(line: str) -> int:
     digits = line.partition(";")[0].strip()
     if not digits or len(digits) > 8 or not all(c in hexdigits for c in digits):
-        raise BadAnswerError(f"chunk size {digits[:20]!r}")
+        raise BadResponseError(f"chunk size {digits[:20]!r}")
     return int(digits, 16)
 
 
 def _exactly(sock: socket.socket, reader: LineReader, size: int, until: timedelta) -> bytes:
     if size > LARGEST:
-        raise BadAnswerError(f"{size} bytes in one answer")
+        raise BadResponseError(f"{size} bytes in one answer")
     body = bytearray(size)
     got = reader.read_buffered(memoryview(body))
     while got < size:
@@ -190,7 +190,7 @@
     return bytes(body)
 
 
-class Watch:
+class DiscoveryWatch:
     """Watches the list from the first time it is asked to, and again each time it has failed and is asked.
 
     When to ask again is the module's choice; between two calls of one watch there is no pause, because a
@@ -204,7 +204,7 @@
         tell: Callable[[ListMode, Sequence[UpstreamHost]], None],
         log: Callable[[str], None],
     ) -> None:
-        self._caller = self._version_from = HttpCaller(discovery)
+        self._caller = self._version_from = HttpClient(discovery)
         self.version = version  # None: nothing is held of this discovery's, so the whole list is asked for
         self._tell = tell
         self._log = log
@@ -214,13 +214,13 @@
     def start(self) -> None:
         threading.Thread(target=self._run, name="watch", daemon=True).start()
 
-    def ask(self) -> None:
+    def trigger(self) -> None:
         self._wanted.set()
 
-    def follow(self, discovery: Address) -> None:
+    def switch_to(self, discovery: Address) -> None:
         """Another discovery from now on. The call that waits at the old one is ended, nothing new goes there,
         and the new one is asked at once: what it has to tell may count as told any moment."""
-        old, self._caller = self._caller, HttpCaller(discovery)
+        old, self._caller = self._caller, HttpClient(discovery)
         self._wanted.set()
         old.shut_down()
 
@@ -236,8 +236,8 @@
                 self._version_from, self.version = caller, None
             try:
                 while caller is self._caller:
-                    self.once(caller)
-            except (OSError, BadAnswerError, sockets.LineTooLongError) as error:
+                    self.poll_once(caller)
+            except (OSError, BadResponseError, sockets.LineTooLongError) as error:
                 if caller is self._caller:
                     self._log(f"discovery: {error!r}")
                     self._tell(ListMode.UNAVAILABLE, ())
@@ -248,14 +248,14 @@
         self._wanted.set()
         self._caller.shut_down()
 
-    def once(self, caller: HttpCaller) -> None:
+    def poll_once(self, caller: HttpClient) -> None:
         path = "/v1/servers"
         if self.version is not None:
             path += f"?since={self.version}&timeout_ms={WATCH_WAIT // timedelta(milliseconds=1)}"
         status, body = caller.get(path, WATCH_WAIT + SLACK)
         if status != 200:
-            raise BadAnswerError(f"status {status}")
-        version, mode, changed = read_list(body)
+            raise BadResponseError(f"status {status}")
+        version, mode, changed = parse_list(body)
         if caller is not self._caller:
             return  # an answer of the old one that came while we were told of the new one
         self.version = version
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -14,14 +14,14 @@
 from bramblestile.memory.connections import Message, MessageKind, ProxiedConnection
 from bramblestile.protocol import ClientRequest, DialHost, Established, NotEstablished, SendGuard, UpstreamAnswer
 from bramblestile.sockets import LineReader, Transport, decode_line
-from bramblestile.wire.common import SocketDownstream, plain
+from bramblestile.wire.common import SocketDownstream, dial_plain
 from vanegw.interface import Report, Status
 
-LONGEST = 4096  # bytes of one line with its ending
+MAX_LINE_BYTES = 4096  # bytes of one line with its ending
 MOVE = b"MOVE\r\n"
 PONG = b"PONG\r\n"
-FAILED = b"ERR\r\n"
-FULL = b"BUSY\r\n"
+ERR = b"ERR\r\n"
+BUSY = b"BUSY\r\n"
 # The answer's way back to the downstream takes time too: it must come before the downstream gives up.
 WAY_BACK = timedelta(milliseconds=15)
 LONGEST_WAIT = timedelta(seconds=60)  # no class waits nearly so long for its UP
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class OpenLine:
     """A first line, kept as it came, and where in it the value of ``d`` stands."""
 
     line: bytes
@@ -65,7 +65,7 @@
         return [view[: self.d_start], b"%d" % max(1, to_milliseconds(wait)), view[self.d_end :]]
 
 
-def parse_open(line: memoryview) -> tuple[ClientRequest, Head]:
+def parse_open(line: memoryview) -> tuple[ClientRequest, OpenLine]:
     """``OPEN ID KEY NAME=VALUE,...``; names that are not known are passed on and ignored."""
     raw = bytes(line)
     words = raw.rstrip(b"\r\n").split(b" ")
@@ -101,7 +101,7 @@
         values.get("again") == "1",
         bound_to,
     )
-    return asked, Head(raw, d_start, d_end)
+    return asked, OpenLine(raw, d_start, d_end)
 
 
 def _milliseconds(value: str) -> timedelta:
@@ -179,7 +179,7 @@
 class LineDownstream(SocketDownstream):
     """One client of the platform, whose first line has been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, asked: ClientRequest, head: Head) -> None:
+    def __init__(self, sock: socket.socket, reader: LineReader, asked: ClientRequest, head: OpenLine) -> None:
         super().__init__(sock, reader, asked)
         self._head = head
 
@@ -188,7 +188,7 @@
         self._reply(b"BUSY %d\r\n" % ms if ms > 0 else b"BUSY\r\n")
 
     def fail(self) -> None:
-        self._reply(FAILED)
+        self._reply(ERR)
 
     def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
         # A bound connection's line goes as it came: the host knows it by what it was.
@@ -200,7 +200,7 @@
                 sockets.write(upstream, [self._head.line] if bound else self._head.parts(until - now()))
         except OSError:
             return NotEstablished(Status.NO_ROUTE)  # broke before the last byte was written: it never ran
-        reader = LineReader(upstream, LONGEST)
+        reader = LineReader(upstream, MAX_LINE_BYTES)
         try:
             line = reader.line(max(until - now(), ZERO_DURATION), abort_on=self._sock)
         except TimeoutError:
@@ -251,12 +251,12 @@
 class Prober:
     """The load of one upstream host, asked over a connection that is kept while it lasts."""
 
-    def __init__(self, dial: DialHost = plain) -> None:
+    def __init__(self, dial: DialHost = dial_plain) -> None:
         self._dial = dial
         self._sock: Transport | None = None
         self._reader: LineReader | None = None
 
-    def ask(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
+    def probe(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
         until = now() + within
         kept = self._sock is not None
         status, report = self._once(host, until)
@@ -269,7 +269,7 @@
         try:
             if self._sock is None:
                 self._sock = self._dial(host, until - now(), until)
-                self._reader = LineReader(self._sock, LONGEST)
+                self._reader = LineReader(self._sock, MAX_LINE_BYTES)
             sockets.write(self._sock, [b"STATS\r\n"])
         except OSError as error:
             self.close()
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -21,12 +21,12 @@
 from bramblestile.memory.connections import Message, MessageKind, ProtocolViolationError, ProxiedConnection
 from bramblestile.protocol import ClientRequest, DialHost, Established, NotEstablished, SendGuard, UpstreamAnswer
 from bramblestile.sockets import Address, LineReader, Transport, decode_line
-from bramblestile.wire.common import MOST_PINGS, SocketDownstream, plain
+from bramblestile.wire.common import MAX_PINGS, SocketDownstream, dial_plain
 from vanegw.interface import Report, Status
 
-LONGEST = 4096  # bytes of one control line with its ending
+MAX_LINE_BYTES = 4096  # bytes of one control line with its ending
 PAYLOADS = (b"PUB", b"HPUB", b"MSG", b"HMSG")  # their last word is the size of what follows
-CONNECT_WITHIN = timedelta(seconds=2)  # for the client's CONNECT, as common servers have it
+CONNECT_TIMEOUT = timedelta(seconds=2)  # for the client's CONNECT, as common servers have it
 PING, PONG, OK = b"PING\r\n", b"PONG\r\n", b"+OK\r\n"
 
 
@@ -34,8 +34,8 @@
     return f"-ERR '{words}'\r\n".encode()
 
 
-FULL = "maximum connections exceeded"
-FAILED = error("Stale Connection")  # client libraries answer it by connecting again
+CONNECTIONS_EXCEEDED = "maximum connections exceeded"
+STALE_CONNECTION = error("Stale Connection")  # client libraries answer it by connecting again
 NO_CONNECT = error("Authentication Timeout")
 UNKNOWN = error("Unknown Protocol Operation")
 PARSER = error("Parser Error")
@@ -43,7 +43,7 @@
 PAYLOAD_LIMIT = error("Maximum Payload Violation")
 
 
-class RefusedError(Exception):
+class RejectedError(Exception):
     """What the client said before it was taken is answered with this reply."""
 
     def __init__(self, reply: bytes) -> None:
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Greeting:
+class ServerInfo:
     """What the front says of itself, and whom it knows."""
 
     name: str
@@ -69,7 +69,7 @@
     users: Mapping[str, User] = field(default_factory=dict)
     max_payload: int = 1 << 20
 
-    def info(self, ldm: bool = False) -> bytes:
+    def info_line(self, ldm: bool = False) -> bytes:
         said: dict[str, Any] = {
             "server_id": self.name,
             "server_name": self.name,
@@ -86,17 +86,17 @@
 
 
 def read_connect(
-    sock: socket.socket, reader: LineReader, greeting: Greeting, waits: Mapping[str, timedelta]
+    sock: socket.socket, reader: LineReader, server_info: ServerInfo, waits: Mapping[str, timedelta]
 ) -> tuple[ClientRequest, bytes, bool] | None:
     """The client's CONNECT: what it asks for, the line as it came, whether it is verbose. None: it left."""
-    until = now() + CONNECT_WITHIN
-    for _ in range(MOST_PINGS):
+    until = now() + CONNECT_TIMEOUT
+    for _ in range(MAX_PINGS):
         try:
             line = reader.line(max(until - now(), ZERO_DURATION))
         except TimeoutError:
-            raise RefusedError(NO_CONNECT) from None
+            raise RejectedError(NO_CONNECT) from None
         except sockets.LineTooLongError:
-            raise RefusedError(LINE_LIMIT) from None
+            raise RejectedError(LINE_LIMIT) from None
         if line is None:
             return None
         word, _, rest = bytes(line).strip().partition(b" ")
@@ -105,16 +105,16 @@
         elif word.upper() == b"CONNECT":
             break
         else:
-            raise RefusedError(UNKNOWN)
+            raise RejectedError(UNKNOWN)
     else:
-        raise RefusedError(UNKNOWN)
+        raise RejectedError(UNKNOWN)
     try:
         options = json.loads(rest)
-        user = greeting.users.get(str(options.get("user")), greeting.default)
+        user = server_info.users.get(str(options.get("user")), server_info.default)
         name = options.get("name")
         verbose = bool(options.get("verbose"))
     except (ValueError, AttributeError):
-        raise RefusedError(PARSER) from None
+        raise RejectedError(PARSER) from None
     # Clients of one name work on the same collection: they are a group to the module.
     tag = blake2b(name.encode(), digest_size=6).digest() if isinstance(name, str) else None
     group = int.from_bytes(tag, "big") if tag else None
@@ -136,12 +136,12 @@
     return Status.NO_ROOM if b"maximum" in said and b"connections exceeded" in said else Status.ERROR
 
 
-def drains_no_more(dial: DialHost, host: UpstreamHost, within: timedelta) -> bool:
+def has_stopped_draining(dial: DialHost, host: UpstreamHost, within: timedelta) -> bool:
     """Reads a host's INFO, sends nothing, and leaves."""
     try:
         sock = dial(host, within, now() + within)
         try:
-            line = LineReader(sock, LONGEST * 4).line(within)
+            line = LineReader(sock, MAX_LINE_BYTES * 4).line(within)
             return line is not None and bytes(line[:4]).upper() == b"INFO" and not is_ldm(bytes(line))
         finally:
             sockets.close(sock)
@@ -151,7 +151,7 @@
 
 def read_info(sock: Transport, until: timedelta) -> bytes:
     """What a host says before TLS begins: its INFO, and not a byte more. DialError."""
-    reader = LineReader(sock, LONGEST * 4)
+    reader = LineReader(sock, MAX_LINE_BYTES * 4)
     try:
         line = reader.line(max(until - now(), ZERO_DURATION))
     except TimeoutError:
@@ -184,7 +184,7 @@
                 at += step
                 continue
             end = raw.find(b"\n", at)
-            if (end if end >= 0 else len(raw)) - at > LONGEST and self._max_payload is not None:
+            if (end if end >= 0 else len(raw)) - at > MAX_LINE_BYTES and self._max_payload is not None:
                 raise ProtocolViolationError(LINE_LIMIT)
             if end < 0:
                 break
@@ -219,25 +219,25 @@
         self,
         sock: socket.socket,
         reader: LineReader,
-        greeting: Greeting,
+        server_info: ServerInfo,
         asked: ClientRequest,
         connect: bytes,
         verbose: bool,
     ) -> None:
         super().__init__(sock, reader, asked)
-        self._greeting = greeting
+        self._greeting = server_info
         self._connect = connect
         self._verbose = verbose
 
     def refuse(self, retry_after: timedelta) -> None:
         ms = to_milliseconds(retry_after)
-        self._reply(error(f"{FULL}, come back in {ms} ms" if ms > 0 else FULL))
+        self._reply(error(f"{CONNECTIONS_EXCEEDED}, come back in {ms} ms" if ms > 0 else CONNECTIONS_EXCEEDED))
 
     def fail(self) -> None:
-        self._reply(FAILED)
+        self._reply(STALE_CONNECTION)
 
     def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
-        reader = LineReader(upstream, LONGEST * 4)  # an INFO may be longer than a client's lines
+        reader = LineReader(upstream, MAX_LINE_BYTES * 4)  # an INFO may be longer than a client's lines
         sent = False
         while True:
             try:
@@ -274,15 +274,15 @@
                 return NotEstablished(Status.ERROR)
 
     def _standing(self, upstream: Transport, reader: LineReader) -> ProxiedConnection:
-        greeting = self._greeting
+        server_info = self._greeting
         return ProxiedConnection(
             self._asked.id,
             "",
             self._sock,
             upstream,
-            greeting.info(ldm=True),
+            server_info.info_line(ldm=True),
             NatsFramer({b"PONG": MessageKind.RESPONSE}),
-            NatsFramer({b"PING": MessageKind.QUERY}, greeting.max_payload),
+            NatsFramer({b"PING": MessageKind.QUERY}, server_info.max_payload),
             unsent_to_upstream=self._reader.take_buffered(),
             unsent_to_downstream=(OK if self._verbose else b"") + reader.take_buffered(),
             started=True,
@@ -293,15 +293,15 @@
 class Prober:
     """NATS hosts report no load: a probe tells whether one answers PING."""
 
-    def __init__(self, dial: DialHost = plain) -> None:
+    def __init__(self, dial: DialHost = dial_plain) -> None:
         self._dial = dial
 
-    def ask(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
+    def probe(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
         until = now() + within
         try:
             sock = self._dial(host, within, until)
             try:
-                reader = LineReader(sock, LONGEST * 4)
+                reader = LineReader(sock, MAX_LINE_BYTES * 4)
                 sockets.write(sock, [b'CONNECT {"verbose":false}\r\n', PING])
                 while line := reader.line(max(until - now(), ZERO_DURATION)):
                     word = bytes(line).partition(b" ")[0].strip().upper()
--- a/bramblestile/wire/peers.py
+++ b/bramblestile/wire/peers.py
@@ -17,17 +17,17 @@
 from bramblestile.store.replica import Message
 from bramblestile.store.service import Store
 
-LONGEST = 1 << 18  # bytes of one line: a full message of the longest entries fits
+MAX_LINE_BYTES = 1 << 18  # bytes of one line: a full message of the longest entries fits
 DIAL = timedelta(milliseconds=200)
 WAITING = 64  # messages to a peer that cannot be reached; older ones are of no use to it
 COMMAND = timedelta(seconds=3)
 
 
-def line(value: Mapping[str, Any]) -> bytes:
+def encode_line(value: Mapping[str, Any]) -> bytes:
     return json.dumps(value, separators=(",", ":")).encode() + b"\n"
 
 
-class Peers:
+class PeerSender:
     """One thread for each other peer sends to it; messages to one that is out of reach are dropped."""
 
     def __init__(self, peers: Mapping[str, Address], name: str, counters: Counters) -> None:
@@ -61,7 +61,7 @@
                     sock.close()
                     sock = None
                 sock = sock or sockets.dial(self._addresses[name], DIAL)
-                sockets.write(sock, [line(message.to_json())])
+                sockets.write(sock, [encode_line(message.to_json())])
             except OSError:
                 self._counters.add("store_messages_dropped")
                 if sock is not None:
@@ -73,22 +73,22 @@
 
 def serve(sock: socket.socket, store: Store, peers: Mapping[str, Address], counters: Counters) -> None:
     """A connection from a peer, or from an operator. What is neither is answered and ends it."""
-    reader = LineReader(sock, LONGEST)
+    reader = LineReader(sock, MAX_LINE_BYTES)
     while (got := reader.line()) is not None and not store.is_stopped():
         try:
             said = json.loads(bytes(got))
             if "do" not in said:
                 store.receive(Message.from_json(said))
                 continue
-            answer = command(store, peers, said)
+            answer = run_command(store, peers, said)
         except (ValueError, TypeError, KeyError) as error:
             counters.add("store_bad_lines")
-            sockets.write(sock, [line({"ok": False, "why": str(error)})])
+            sockets.write(sock, [encode_line({"ok": False, "why": str(error)})])
             return
-        sockets.write(sock, [line(answer)])
+        sockets.write(sock, [encode_line(answer)])
 
 
-def command(store: Store, peers: Mapping[str, Address], said: Mapping[str, Any]) -> dict[str, Any]:
+def run_command(store: Store, peers: Mapping[str, Address], said: Mapping[str, Any]) -> dict[str, Any]:
     """``get`` tells what this peer has; ``set`` goes to the leader, by way of this peer if need be."""
     if said["do"] == "get":
         return {"ok": True, "value": store.get(str(said["key"])), "leader": store.leader()}
@@ -102,17 +102,17 @@
     if not leader or said.get("passed_on"):
         return {"ok": False, "why": "no leader", "leader": leader}
     try:
-        return call(peers[leader], {**said, "passed_on": True}, COMMAND + DIAL)
+        return send_command(peers[leader], {**said, "passed_on": True}, COMMAND + DIAL)
     except OSError:
         return {"ok": False, "why": "the leader is out of reach", "leader": leader}
 
 
-def call(to: Address, said: Mapping[str, Any], within: timedelta) -> dict[str, Any]:
+def send_command(to: Address, said: Mapping[str, Any], within: timedelta) -> dict[str, Any]:
     """One command over a connection of its own. OSError when no answer comes."""
     until = now() + within
     with sockets.dial(to, DIAL) as sock:
-        sockets.write(sock, [line(said)])
-        got = LineReader(sock, LONGEST).line(max(until - now(), ZERO_DURATION))
+        sockets.write(sock, [encode_line(said)])
+        got = LineReader(sock, MAX_LINE_BYTES).line(max(until - now(), ZERO_DURATION))
         if got is None:
             raise ConnectionResetError("ended without an answer")
         answer = json.loads(bytes(got))
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -13,34 +13,34 @@
 from vanegw.interface import ProbeResult, Report, Status
 
 IDLE = timedelta(seconds=30)  # a host that nobody asks about gives its thread and connection back
-Ask = Callable[[UpstreamHost, timedelta], tuple[Status, Report | None]]
+ProbeHost = Callable[[UpstreamHost, timedelta], tuple[Status, Report | None]]
 
 
-class Probes:
+class ProbeRunner:
     def __init__(
         self,
         cluster: Cluster,
-        make: Callable[[], tuple[Ask, Callable[[], None]]],
-        within: timedelta,
+        make: Callable[[], tuple[ProbeHost, Callable[[], None]]],
+        answer_timeout: timedelta,
         tell: Callable[[ProbeResult], None],
         counters: Counters,
     ) -> None:
         self._cluster = cluster
         self._make = make
-        self.within = within
+        self.answer_timeout = answer_timeout
         self._tell = tell
         self._counters = counters
         self._lock = threading.Lock()
         self._queues: dict[str, SimpleQueue[None]] = {}
 
-    def ask(self, host: str, beside: bool = True) -> None:
+    def request(self, host: str, even_if_queued: bool = True) -> None:
         """``beside``: also where one waits already."""
         with self._lock:
             queue = self._queues.get(host)
             if queue is None:
                 queue = self._queues[host] = SimpleQueue()
                 threading.Thread(target=self._run, args=(host, queue), name=host, daemon=True).start()
-            if beside or queue.empty():
+            if even_if_queued or queue.empty():
                 queue.put(None)
 
     def _run(self, name: str, queue: SimpleQueue[None]) -> None:
@@ -64,6 +64,6 @@
             if place not in (None, (host.address, host.started_at)):  # another start may be another host
                 close()
             place = host.address, host.started_at
-            status, report = ask(host, self.within)
+            status, report = ask(host, self.answer_timeout)
             self._counters.add(f"probes_{status.name.lower()}")
             self._tell(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -11,7 +11,7 @@
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.process import config
 from bramblestile.process.daemon import Daemon
-from bramblestile.wire.agent import Opinion, parse_agent
+from bramblestile.wire.agent import CheckResult, parse_agent_line
 from tests.scenario import Peer, Stage
 from tests.test_process import SETTINGS
 from vanegw.interface import ListMode, State
@@ -24,19 +24,19 @@
 @pytest.mark.parametrize(
     ("line", "opinion"),
     [
-        ("up ready 75%", Opinion(True, 0.75)),
-        ("drain", Opinion(False)),
-        ("0%", Opinion(False)),
-        ("ready,down", Opinion(False)),
-        ("down ready", Opinion(False)),
-        ("maxconn:30 150%", Opinion(None, 1.0)),
-        ("up # drain", Opinion(True)),
-        ("", Opinion()),
-        ("\u00b2% what", Opinion()),
+        ("up ready 75%", CheckResult(True, 0.75)),
+        ("drain", CheckResult(False)),
+        ("0%", CheckResult(False)),
+        ("ready,down", CheckResult(False)),
+        ("down ready", CheckResult(False)),
+        ("maxconn:30 150%", CheckResult(None, 1.0)),
+        ("up # drain", CheckResult(True)),
+        ("", CheckResult()),
+        ("\u00b2% what", CheckResult()),
     ],
 )
-def test_the_words_of_an_agent(line: str, opinion: Opinion) -> None:
-    assert parse_agent(line) == opinion
+def test_the_words_of_an_agent(line: str, opinion: CheckResult) -> None:
+    assert parse_agent_line(line) == opinion
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -38,7 +38,7 @@
     got = config.load([str(Path(__file__).parent.parent / "deploy" / "nats.toml")], {})
     assert got.lines is None and got.nats is not None
     assert [h.id for h in got.nats.known] == ["catalogue-a", "catalogue-b"]
-    assert got.nats.greeting.users["curators"].tenant == "vestland-museum"
+    assert got.nats.server_info.users["curators"].tenant == "vestland-museum"
 
 
 def test_the_operators_file_of_traces_is_laid_over_the_platforms(tmp_path: Path) -> None:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -30,7 +30,7 @@
 @BOTH
 def test_silence_ends_soon_after_the_accept(wire: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(front, "FIRST_LINE", timedelta(milliseconds=100))
-    monkeypatch.setattr(nats, "CONNECT_WITHIN", timedelta(milliseconds=100))
+    monkeypatch.setattr(nats, "CONNECT_TIMEOUT", timedelta(milliseconds=100))
     Stage(wire).play("c1 greeted\nc1 send PING\nc1 expect PONG\nc1 raw OP\nc1 late")
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -301,7 +301,7 @@
 
     def until(said: dict[str, Any], at: str, wanted: Any) -> dict[str, Any]:
         for _ in range(100):  # each call is bounded, and a leader is found within seconds
-            answer = peers.call(addresses[at], said, timedelta(seconds=4))
+            answer = peers.send_command(addresses[at], said, timedelta(seconds=4))
             if wanted(answer):
                 return answer
             daemons[at].stopping.wait(0.05)
@@ -323,6 +323,6 @@
     at = "{}:{}".format(*addresses[first])
     assert cli.main(["store", "get", at, "hosts/a"]) == 0 and cli.main(["store", "set", at]) == 2
     assert capsys.readouterr().out == "up 50%\n"
-    assert not peers.call(addresses[first], {"do": "sing"}, timedelta(seconds=1))["ok"]
+    assert not peers.send_command(addresses[first], {"do": "sing"}, timedelta(seconds=1))["ok"]
     for daemon in daemons.values():
         daemon.stop_store()
