--- a/benchmarks/tls_rotate.py
+++ b/benchmarks/tls_rotate.py
@@ -18,7 +18,7 @@
 import click
 
 from tests.authority import Authority, Issued
-from tests.load import Hosts, load, running
+from tests.load import StubHosts, run_load, running_daemon
 
 
 class Rotation:
@@ -65,23 +65,23 @@
     with tempfile.TemporaryDirectory() as name, tempfile.TemporaryDirectory() as config:
         folder = Path(name)
         rotation = Rotation(folder)
-        hosts = Hosts(5, life=-1, tls=rotation.server)
+        hosts = StubHosts(5, life=-1, tls=rotation.server)
         table = {"ca": str(folder / "ca.pem"), "cert": str(folder / "client.pem"), "key": str(folder / "client.key")}
         over = threading.Event()
 
         def keep_asking() -> None:
             seed = 1
             while not over.is_set():
-                got.update(load(program.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
+                got.update(run_load(program.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
 
         try:
-            with running(Path(config), hosts, tls=table) as program:
+            with running_daemon(Path(config), hosts, tls=table) as program:
                 span = rounds * every + 2
                 threads = [
                     threading.Thread(target=keep_asking),
                     threading.Thread(
                         target=lambda: stood.update(
-                            load(program.address, standing, at_once=standing, seed=99, stay=span, within=span + 20)
+                            run_load(program.address, standing, at_once=standing, seed=99, stay=span, within=span + 20)
                         )
                     ),
                 ]
--- a/benchmarks/tls_wave.py
+++ b/benchmarks/tls_wave.py
@@ -19,7 +19,7 @@
 import click
 
 from tests.authority import Authority
-from tests.load import SETTINGS, Hosts, load, running
+from tests.load import SETTINGS, StubHosts, run_load, running_daemon
 
 COLD_US = 8_000_000
 
@@ -52,15 +52,15 @@
             made.num_tickets = 0
         return made
 
-    hosts = Hosts(10, life=life, tls=None if tls is None else server)
+    hosts = StubHosts(10, life=life, tls=None if tls is None else server)
     got: Counter[str] = Counter()
     table = None if tls is None else {"ca": str(ca.file)} | tls
     try:
         with (
             tempfile.TemporaryDirectory() as folder,
-            running(Path(folder), hosts, tls=table, settings=settings()) as program,
+            running_daemon(Path(folder), hosts, tls=table, settings=settings()) as program,
         ):
-            loads = threading.Thread(target=lambda: got.update(load(program.address, count, at_once, within=120)))
+            loads = threading.Thread(target=lambda: got.update(run_load(program.address, count, at_once, within=120)))
             loads.start()
             time.sleep(3)
             early = program.counters()
--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -23,7 +23,7 @@
 from bramblestile.memory.decisions import Decisions
 from bramblestile.trace.recorder import Recorder, RecorderConfig
 from bramblestile.tracing import Tracer, TracerHandle
-from tests.load import SETTINGS, Hosts, Program, load, running
+from tests.load import SETTINGS, DaemonProcess, StubHosts, run_load, running_daemon
 from vanegw import interface as api
 from vanegw import wire as settings_form
 
@@ -34,19 +34,19 @@
     return time.clock_gettime(~pid << 3 | 2), int(status.partition("VmRSS:")[2].split()[0])
 
 
-def cpu_per_request(program: Program, requests: int, at_once: int, seed: int) -> float:
+def cpu_per_request(program: DaemonProcess, requests: int, at_once: int, seed: int) -> float:
     """Return the microseconds of CPU per request."""
     before, _ = cpu_and_memory(program.process.pid)
-    answers = load(program.address, requests, at_once, seed, within=300)
+    answers = run_load(program.address, requests, at_once, seed, within=300)
     after, _ = cpu_and_memory(program.process.pid)
     assert answers["UP"] > 0.9 * requests, answers
     return (after - before) / requests * 1e6
 
 
-def memory_after_load(hosts: Hosts, requests: int, at_once: int, trace_config: dict[str, Any] | None) -> float:
+def memory_after_load(hosts: StubHosts, requests: int, at_once: int, trace_config: dict[str, Any] | None) -> float:
     """Return the resident megabytes of a new program after a load."""
-    with tempfile.TemporaryDirectory() as folder, running(Path(folder), hosts, trace=trace_config) as program:
-        load(program.address, requests, at_once, within=300)
+    with tempfile.TemporaryDirectory() as folder, running_daemon(Path(folder), hosts, trace=trace_config) as program:
+        run_load(program.address, requests, at_once, within=300)
         return cpu_and_memory(program.process.pid)[1] / 1024
 
 
@@ -112,16 +112,16 @@
 @click.option("--noise", is_flag=True, help="Trace in neither round, to show the noise of the method.")
 def main(pairs: int, requests: int, at_once: int, programs: int, noise: bool) -> None:
     """Measure the cost of tracing, pair by pair."""
-    hosts = Hosts(8)
+    hosts = StubHosts(8)
     with tempfile.TemporaryDirectory() as folder:
         trace_config = {"directory": folder, "flush_ms": 1000}
         ratios, baseline = [], []
         # One core, as on the platform, and none that the load runs on: migrations between cores would distort the cost.
         cores = sorted(os.sched_getaffinity(0))
         os.sched_setaffinity(0, cores[-1:])
-        with running(Path(folder), hosts) as program:
+        with running_daemon(Path(folder), hosts) as program:
             os.sched_setaffinity(0, cores[:-1] or cores)
-            load(program.address, requests * 2, at_once, within=300)  # warm-up
+            run_load(program.address, requests * 2, at_once, within=300)  # warm-up
             for pair in range(pairs):
                 cost = {}
                 for traced in (False, True) if pair % 2 else (True, False):
--- a/benchmarks/trace_kill.py
+++ b/benchmarks/trace_kill.py
@@ -11,7 +11,7 @@
 
 import click
 
-from tests.load import Hosts
+from tests.load import StubHosts
 from tests.test_trace_daemon import find_missing, run_until_killed
 
 
@@ -20,7 +20,7 @@
 @click.option("--seed", default=1, show_default=True)
 def main(times: int, seed: int) -> None:
     """Kill -9 repeatedly and count the missing records."""
-    rng, hosts, records, missing_count = Random(seed), Hosts(3), 0, 0
+    rng, hosts, records, missing_count = Random(seed), StubHosts(3), 0, 0
     latest = 0
     for _ in range(times):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from tests.scenario import Stage
+from tests.scenario import Scenario
 
 
 @pytest.fixture(autouse=True)
 def stop_the_stages() -> Iterator[None]:
     """Seen: a check of an earlier test asked a later test's host, whose port had been the agent's."""
     yield
-    while Stage.made:
-        Stage.made.pop().front.stop()
+    while Scenario.running:
+        Scenario.running.pop().front.stop()
 
 
 @pytest.fixture(autouse=True)
--- a/tests/load.py
+++ b/tests/load.py
@@ -42,7 +42,7 @@
 }
 
 
-class Hosts:
+class StubHosts:
     """Several hosts on one event loop in a thread of its own, idle by their reports: such a one may be given many at
     once without being thought full. ``life``: seconds until a host says BYE; below nothing it never does, and
     answers each line with itself. ``tls``: a host's side of it, made anew at each of its starts. ``handshakes``: when,
@@ -197,7 +197,7 @@
     return got
 
 
-def load(
+def run_load(
     address: tuple[str, int], count: int, at_once: int = 16, seed: int = 1, within: float = 60.0, stay: float = 0.0
 ) -> Counter[str]:
     """``count`` requests, so many at once; the first words of what was answered. ``stay``: seconds until the client
@@ -211,10 +211,10 @@
         return address
 
 
-class Program:
+class DaemonProcess:
     """``python -m bramblestile`` with a configuration of its own. ``said``: the lines of its log, as they come."""
 
-    def __init__(self, folder: Path, hosts: Hosts, **config: Any) -> None:
+    def __init__(self, folder: Path, hosts: StubHosts, **config: Any) -> None:
         self.address = free_address()
         self.path = folder / "config.json"
         self.values = {
@@ -301,8 +301,8 @@
 
 
 @contextmanager
-def running(folder: Path, hosts: Hosts, **config: Any) -> Iterator[Program]:
-    program = Program(folder, hosts, **config)
+def running_daemon(folder: Path, hosts: StubHosts, **config: Any) -> Iterator[DaemonProcess]:
+    program = DaemonProcess(folder, hosts, **config)
     try:
         program.wait_until_up()
         yield program
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -87,30 +87,30 @@
         self.sock, self.read = sock, b""
         sock.settimeout(BOUND)
 
-    def more(self) -> bool:
+    def receive(self) -> bool:
         got = self.sock.recv(65536)
         self.read += got
         return bool(got)
 
     def take(self, size: int) -> bytes:
         while len(self.read) < size:
-            assert self.more(), f"ended after {self.read!r}"
+            assert self.receive(), f"ended after {self.read!r}"
         got, self.read = self.read[:size], self.read[size:]
         return got
 
     def line(self) -> str:
         while b"\n" not in self.read:
-            assert self.more(), f"ended after {self.read!r}"
+            assert self.receive(), f"ended after {self.read!r}"
         return self.take(self.read.index(b"\n") + 1).decode().rstrip("\r\n")
 
     def ends(self) -> None:
-        assert not self.read and not self.more(), f"still says {self.read!r}"
+        assert not self.read and not self.receive(), f"still says {self.read!r}"
 
 
-class Stage:
+class Scenario:
     """The program with one front, its stand-in upstream hosts, and the downstreams of a scenario."""
 
-    made: ClassVar[list[Stage]] = []  # those that are still to be stopped (conftest.py)
+    running: ClassVar[list[Scenario]] = []  # those that are still to be stopped (conftest.py)
 
     def __init__(
         self,
@@ -167,7 +167,7 @@
         self.front: Front = (
             NatsFront(made, self.counters) if isinstance(made, config.NatsConfig) else LineFront(made, self.counters)
         )
-        Stage.made.append(self)
+        Scenario.running.append(self)
         self.front.start()
 
     def read(self) -> config.FrontConfig:
@@ -188,7 +188,7 @@
     def entry(self, name: str) -> dict[str, Any]:
         return {"host": name, "dial": "{}:{}".format(*self.listening[name].getsockname()), "health": "in_service"}
 
-    def play(self, script: str) -> None:
+    def run(self, script: str) -> None:
         for number, line in enumerate(script.strip().splitlines(), 1):
             if line.strip():
                 try:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,7 +12,7 @@
 from bramblestile.process import config
 from bramblestile.process.daemon import Daemon
 from bramblestile.wire.agent import CheckResult, parse_agent_line
-from tests.scenario import Peer, Stage
+from tests.scenario import Peer, Scenario
 from tests.test_process import SETTINGS
 from vanegw.interface import ListMode, State
 
@@ -65,7 +65,7 @@
     ],
 )
 def test_what_a_host_says_counts(wire: str, check: str, script: str) -> None:
-    Stage(wire, check=check).play(script)
+    Scenario(wire, check=check).run(script)
 
 
 def test_what_is_said_of_the_balancer() -> None:
@@ -86,7 +86,7 @@
         peer = Peer(socket.create_connection(daemon.told_at[name].address))
         peer.sock.sendall(request.encode())
         line = peer.line()
-        while peer.more():
+        while peer.receive():
             pass
         return line
 
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.scenario import WIRES, Stage
+from tests.scenario import WIRES, Scenario
 from vanegw import rules
 
 BOTH = pytest.mark.parametrize("wire", WIRES)
@@ -45,7 +45,7 @@
     ],
 )
 def test_outcomes_are_the_same_on_both_wires(wire: str, script: str) -> None:
-    Stage(wire).play(script)
+    Scenario(wire).run(script)
 
 
 @pytest.mark.parametrize(
@@ -59,19 +59,19 @@
 )
 def test_a_clients_own_end_is_no_failure_of_a_host_that_has_no_last_word_to_say(wire: str, counted: str) -> None:
     """On the platform's lines a host that is well says BYE even then; NATS has none, TLS may leave no way for it."""
-    Stage(wire).play(STANDS + f"c1 close\nb0 ends\nwait {counted} 1")
+    Scenario(wire).run(STANDS + f"c1 close\nb0 ends\nwait {counted} 1")
 
 
 @BOTH
 def test_a_full_host_is_passed_over_for_another(wire: str) -> None:
-    stage = Stage(wire, hosts=2, try_limit=2)
-    stage.play("list b1 draining\nc1 ask\nb0 taken\nlist b1 running\nb0 full\nb1 taken\nb1 up\nc1 served")
+    stage = Scenario(wire, hosts=2, try_limit=2)
+    stage.run("list b1 draining\nc1 ask\nb0 taken\nlist b1 running\nb0 full\nb1 taken\nb1 up\nc1 served")
 
 
 @BOTH
 def test_a_host_that_takes_the_request_and_answers_nothing_is_left_for_another(wire: str) -> None:
-    stage = Stage(wire, hosts=2, try_limit=2)
-    stage.play("""list b1 draining
+    stage = Scenario(wire, hosts=2, try_limit=2)
+    stage.run("""list b1 draining
         c1 ask
         b0 taken
         list b1 running
@@ -87,34 +87,34 @@
     """A host that runs but returns nothing must not keep its clients."""
     monkeypatch.setattr(rules, "CONNECTION_SILENCE_MS", 300.0)
     ping = "c1 send PING\nb0 expect PING\n"
-    Stage(wire).play(STANDS + ping + "c1 moved\nb0 ends\nwait moved 1")
+    Scenario(wire).run(STANDS + ping + "c1 moved\nb0 ends\nwait moved 1")
 
 
 @BOTH
 def test_a_mute_host_loses_also_the_clients_that_have_not_asked_yet(wire: str) -> None:
     two = STANDS + "c2 ask\nb0 accept\nb0 taken\nb0 up\nc2 served\n"
     # With an aim out of reach no delay moves the first client alone, by chance, before the host counts as mute.
-    Stage(wire, message_aim_us=[60e6, 60e6]).play(two + "c1 send PING\nc1 moved\nc2 moved\nwait moved 2")
+    Scenario(wire, message_aim_us=[60e6, 60e6]).run(two + "c1 send PING\nc1 moved\nc2 moved\nwait moved 2")
 
 
 @BOTH
 def test_a_move_waits_for_the_end_of_a_message(wire: str) -> None:
-    stage = Stage(wire)
+    stage = Scenario(wire)
     head, tail = {"lines": ("half a ", "line\\r\\n"), "nats": ("MSG a 1 4\\r\\n12", "34\\r\\n")}[stage.wire]
-    stage.play(STANDS + f"b0 raw {head}")
+    stage.run(STANDS + f"b0 raw {head}")
     if stage.wire == "nats":  # part of a payload has gone on already; half a line has not
-        stage.play(f"c1 expectraw {head}\nlist b0 draining\nb0 raw {tail}\nc1 expectraw {tail}\nc1 moved")
+        stage.run(f"c1 expectraw {head}\nlist b0 draining\nb0 raw {tail}\nc1 expectraw {tail}\nc1 moved")
     else:
-        stage.play("list b0 draining\nc1 moved")
+        stage.run("list b0 draining\nc1 moved")
 
 
 @BOTH
 def test_a_cold_host_takes_few_of_the_first_requests(wire: str) -> None:
     """All balancers see it start together: alone in its cluster it is still not sent everything."""
-    stage = Stage(wire)
-    stage.play("list b0 cold")
-    stage.play("".join(f"c{n} ask\n" for n in range(20)))
-    stage.play("wait answered_refused 12")
+    stage = Scenario(wire)
+    stage.run("list b0 cold")
+    stage.run("".join(f"c{n} ask\n" for n in range(20)))
+    stage.run("wait answered_refused 12")
     assert stage.counters.get("upstream_requests") <= 8
 
 
@@ -138,4 +138,4 @@
 )
 def test_a_new_configuration_is_followed_and_drops_nobody(wire: str, script: str) -> None:
     with socket.create_server(("127.0.0.1", 0)) as discovery:
-        Stage(wire, discovery=discovery).play(STANDS + script)
+        Scenario(wire, discovery=discovery).run(STANDS + script)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.scenario import Stage
+from tests.scenario import Scenario
 
 LIST = '{{"seq":{0},"whole":{1},"hosts":[{2}]}}'
 
@@ -30,7 +30,7 @@
     ],
 )
 def test_a_bad_first_line_is_failed_and_counted(first: str) -> None:
-    Stage().play(f"c1 send {first}\nc1 expect ERR\nwait bad_first_lines 1\nb0 idle")
+    Scenario().run(f"c1 send {first}\nc1 expect ERR\nwait bad_first_lines 1\nb0 idle")
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
     ],
 )
 def test_lines(script: str) -> None:
-    Stage().play(script)
+    Scenario().run(script)
 
 
 PROBED = "c1 send OPEN 7 8 c=feed,d=1500\nb0 expect STATS\n"
@@ -88,7 +88,7 @@
     ],
 )
 def test_probes(script: str) -> None:
-    Stage(probes=True).play(script)
+    Scenario(probes=True).run(script)
 
 
 def answer(status: str, body: str = "") -> str:
@@ -128,5 +128,5 @@
 def test_discovery(answers: str, then: str) -> None:
     with socket.create_server(("127.0.0.1", 0)) as discovery:
         head = "d expect Host: *\nd expect \n"
-        stage = Stage(discovery=discovery)
-        stage.play("d expect GET /v1/servers?since=1&timeout_ms=*\n" + head + answers + then)
+        stage = Scenario(discovery=discovery)
+        stage.run("d expect GET /v1/servers?since=1&timeout_ms=*\n" + head + answers + then)
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bramblestile.process import front
-from tests.scenario import Stage
+from tests.scenario import Scenario
 
 UP = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
 
@@ -51,24 +51,24 @@
     ],
 )
 def test_nats(script: str) -> None:
-    Stage("nats").play(script)
+    Scenario("nats").run(script)
 
 
 def test_a_client_that_keeps_subscribing_while_its_host_drains_is_moved() -> None:
-    stage = Stage("nats")
-    stage.play(UP + "".join(f"c1 send SUB a.{n} {n}\n" for n in range(50)))
-    stage.play("list b0 draining\n")
-    stage.play("c1 moved\nwait moved 1")
+    stage = Scenario("nats")
+    stage.run(UP + "".join(f"c1 send SUB a.{n} {n}\n" for n in range(50)))
+    stage.run("list b0 draining\n")
+    stage.run("c1 moved\nwait moved 1")
 
 
 def test_silence_before_connect_is_answered() -> None:
-    Stage("nats").play("c1 expect INFO *\nc1 raw CONN\nc1 expect -ERR 'Authentication Timeout'\nc1 ends")
+    Scenario("nats").run("c1 expect INFO *\nc1 raw CONN\nc1 expect -ERR 'Authentication Timeout'\nc1 ends")
 
 
 def test_a_host_that_drains_no_more_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """No list may ever tell of a fixed host's restart: its INFO does."""
     monkeypatch.setattr(front, "LOOK_AGAIN", timedelta(milliseconds=20))
-    Stage("nats").play("""c1 ask
+    Scenario("nats").run("""c1 ask
         b0 send INFO {"ldm":true}
         c1 refused
         b0 accept
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
 from bramblestile.operations.kept import Kept, NotKeptError, Orders
 from bramblestile.process.config import read
 from bramblestile.process.daemon import Daemon
-from tests.scenario import Stage
+from tests.scenario import Scenario
 from tests.upgrade import SETTINGS, Client, serving
 from vanegw.interface import ListMode, State
 
@@ -163,10 +163,10 @@
 @pytest.mark.parametrize("wire", ["lines", "nats"])
 def test_a_request_on_its_way_to_a_host_that_goes_out_is_decided_anew(wire: str) -> None:
     """Both fronts: the host goes out while the request waits for its answer elsewhere; nothing more reaches it."""
-    stage = Stage(wire, hosts=2, try_limit=6)
+    stage = Scenario(wire, hosts=2, try_limit=6)
     cluster = stage.front.cluster
     stage.front.decisions.refresh_hosts(cluster.apply_orders({"b0"}, {}))
-    stage.play("c1 ask\n b1 taken\n b1 up\n c1 served\n b0 idle\n c2 ask\n b1 accept\n b1 taken\n b1 full\n b0 idle")
+    stage.run("c1 ask\n b1 taken\n b1 up\n c1 served\n b0 idle\n c2 ask\n b1 accept\n b1 taken\n b1 full\n b0 idle")
 
 
 def test_a_host_is_out_through_an_upgrade_and_comes_back_by_one_call(tmp_path: Path) -> None:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -31,7 +31,7 @@
 from tests import authority
 from tests import load as load_module
 from tests.authority import DAY, Authority, Issued
-from tests.scenario import Stage
+from tests.scenario import Scenario
 from vanegw.interface import State
 
 SECOND = timedelta(seconds=1)
@@ -487,18 +487,18 @@
 
 @BOTH
 def test_what_stands_on_a_host_that_is_refused_stays_and_nothing_new_comes(wire: str) -> None:
-    stage = Stage(wire)
-    stage.play(UP)
+    stage = Scenario(wire)
+    stage.run(UP)
     stage.servers["b0"] = ca().issue("b0", until=-SECOND).server()
     assert stage.front.tls is not None
     stage.front.tls._tickets.clear()
     accepting = threading.Thread(target=lambda: _fail_once(stage))
     accepting.start()
-    stage.play("c2 ask\nc2 refused\nwait tls_refused_expired 1")
+    stage.run("c2 ask\nc2 refused\nwait tls_refused_expired 1")
     accepting.join(5)
     seen = stage.front.cluster.find("b0")
     assert seen is not None and seen.state is State.CLOSED
-    stage.play("c1 says\nb0 hears\nb0 says\nc1 hears\nc3 ask\nc3 refused")
+    stage.run("c1 says\nb0 hears\nb0 says\nc1 hears\nc3 ask\nc3 refused")
     assert stage.counters.get("moved") == 0
     stage.servers.clear()
     accepting = threading.Thread(target=lambda: _fail_once(stage))
@@ -507,10 +507,10 @@
     held = stage.front.decisions._balancer.backends
     stage.until(lambda: held["b0"].info.state is State.RUNNING, "closed still")
     accepting.join(5)
-    stage.play("c1 close\nb0 bye\nb0 ends\nc4 ask\nb0 taken\nb0 up\nc4 served")
+    stage.run("c1 close\nb0 bye\nb0 ends\nc4 ask\nb0 taken\nb0 up\nc4 served")
 
 
-def _fail_once(stage: Stage) -> None:
+def _fail_once(stage: Scenario) -> None:
     """The host takes a connection beside the scenario's, and does what TLS needs."""
     stage.listening["b0"].settimeout(5)
     sock = stage.listening["b0"].accept()[0]
@@ -536,26 +536,26 @@
     ],
 )
 def test_an_end_without_its_word_is_told_from_one_with_it(wire: str, script: str) -> None:
-    Stage(wire).play(script)
+    Scenario(wire).run(script)
 
 
 def test_after_the_last_word_a_bare_end_is_an_end() -> None:
-    Stage("lines+tls").play(UP + "b0 bye\nc1 expect BYE\nb0 drop\nc1 ends\nwait ended_served 1")
+    Scenario("lines+tls").run(UP + "b0 bye\nc1 expect BYE\nb0 drop\nc1 ends\nwait ended_served 1")
 
 
 @BOTH
 def test_a_host_that_fails_its_handshake_is_left_for_another(wire: str) -> None:
     """It never ran there: even what must not run twice goes elsewhere."""
-    stage = Stage(wire, hosts=2, try_limit=2)
-    stage.play("list b1 draining\nc1 ask-once")
+    stage = Scenario(wire, hosts=2, try_limit=2)
+    stage.run("list b1 draining\nc1 ask-once")
     with contextlib.closing(stage.listening["b0"].accept()[0]) as sock:
         if stage.wire == "nats":
             sock.sendall(b"INFO {}\r\n")
         sock.recv(4096)
-        stage.play("list b1 running")
+        stage.run("list b1 running")
         sock.sendall(b"no TLS here\r\n")
     up = "b1 send UP r1" if stage.wire == "lines" else "b1 up"
-    stage.play(f"b1 taken\n{up}\nc1 served\nwait upstream_no_route 1")
+    stage.run(f"b1 taken\n{up}\nc1 served\nwait upstream_no_route 1")
 
 
 @pytest.mark.parametrize(
@@ -574,7 +574,7 @@
     ],
 )
 def test_a_faulty_table_is_refused_by_its_key(table: dict[str, Any], words: str) -> None:
-    stage = Stage()
+    stage = Scenario()
     with pytest.raises(config.ConfigError, match="^" + words.replace("{", r"\{")):
         config.read(stage.values | {"tls": {"x": 1} | table})
 
@@ -646,18 +646,18 @@
     good = {name: ca().issue(name) for name in ("h0", "h1")}
     bad = ca().issue("h0", until=-SECOND)
     shown = dict(good)
-    hosts = load_module.Hosts(2, life=-1, tls=lambda name: shown[name].server())
+    hosts = load_module.StubHosts(2, life=-1, tls=lambda name: shown[name].server())
     plan = {"directory": str(tmp_path), "flush_ms": 100}
     table = {"ca": str(ca().file), "tickets": 0, "full_per_s": 1000, "burst": 100}
     try:
-        with load_module.running(tmp_path, hosts, trace=plan, tls=table) as program:
+        with load_module.running_daemon(tmp_path, hosts, trace=plan, tls=table) as program:
             standing = [socket.create_connection(program.address) for _ in range(6)]
             for n, sock in enumerate(standing):
                 sock.sendall(b"OPEN %016x %016x c=feed,t=vestland-museum,d=1500\r\n" % (n + 1, n))
                 assert sockets.LineReader(sock).line(3 * SECOND) is not None
             shown["h0"] = bad
             hosts.on_loop(hosts.renew("h0"))
-            got = load_module.load(program.address, 60, at_once=4, stay=0.02)
+            got = load_module.run_load(program.address, 60, at_once=4, stay=0.02)
             assert got["UP"] == 60, got
             assert program.wait_for("certificate refused")["reason"] == "expired"
             for sock in standing:  # on whichever host it stands
--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -17,12 +17,12 @@
 from bramblestile.trace import Reader
 from bramblestile.trace.records import Answer, Decision, Ended, Logged, Record, Reloaded, Request, Started, Stopped
 from bramblestile.trace.summary import Summary
-from tests.load import Hosts, Program, load, running
+from tests.load import DaemonProcess, StubHosts, run_load, running_daemon
 
 
 @pytest.fixture
-def hosts() -> Iterator[Hosts]:
-    stand_ins = Hosts(3)
+def hosts() -> Iterator[StubHosts]:
+    stand_ins = StubHosts(3)
     yield stand_ins
     stand_ins.stop()
 
@@ -40,10 +40,10 @@
     return records
 
 
-def test_the_summary_of_a_trace_matches_the_daemons_counters(tmp_path: Path, hosts: Hosts) -> None:
+def test_the_summary_of_a_trace_matches_the_daemons_counters(tmp_path: Path, hosts: StubHosts) -> None:
     hosts.mode["h1"] = "full"
-    with running(tmp_path, hosts, trace=trace_config(tmp_path)) as program:
-        answers = load(program.address, 300)
+    with running_daemon(tmp_path, hosts, trace=trace_config(tmp_path)) as program:
+        answers = run_load(program.address, 300)
         program.signal(1)  # SIGHUP: the trace also includes a reload
         program.wait_for("reload")
         assert sum(answers.values()) == 300 and answers["UP"] > 50
@@ -71,12 +71,12 @@
     return kinds
 
 
-def run_until_killed(folder: Path, hosts: Hosts, seconds: float) -> tuple[list[Record], int]:
+def run_until_killed(folder: Path, hosts: StubHosts, seconds: float) -> tuple[list[Record], int]:
     """Kill a tracing daemon under load after ``seconds``; return its records and the time of the kill."""
-    program = Program(folder, hosts, trace=trace_config(folder))
+    program = DaemonProcess(folder, hosts, trace=trace_config(folder))
     try:
         program.wait_until_up()
-        loading = threading.Thread(target=load, args=(program.address, 100_000), kwargs={"within": seconds + 5.0})
+        loading = threading.Thread(target=run_load, args=(program.address, 100_000), kwargs={"within": seconds + 5.0})
         loading.start()
         time.sleep(seconds)
         program.process.kill()
@@ -123,7 +123,7 @@
     return missing
 
 
-def test_a_killed_daemon_loses_at_most_its_last_flush(tmp_path: Path, hosts: Hosts) -> None:
+def test_a_killed_daemon_loses_at_most_its_last_flush(tmp_path: Path, hosts: StubHosts) -> None:
     rng = Random(5)
     for run in range(3):
         folder = tmp_path / str(run)
@@ -132,15 +132,15 @@
         assert len(records) > 50 and find_missing(records, killed_at) == []
 
 
-def test_sighup_switches_tracing_on_and_off_without_affecting_requests(tmp_path: Path, hosts: Hosts) -> None:
+def test_sighup_switches_tracing_on_and_off_without_affecting_requests(tmp_path: Path, hosts: StubHosts) -> None:
     folder = tmp_path / "t"
     folder.mkdir()
-    with running(tmp_path, hosts) as program:
-        assert sum(load(program.address, 20).values()) == 20 and read_traces(folder) == []
+    with running_daemon(tmp_path, hosts) as program:
+        assert sum(run_load(program.address, 20).values()) == 20 and read_traces(folder) == []
         assert program.reload(trace=trace_config(folder))["text"] == "done"
-        answers = load(program.address, 20, seed=2)
+        answers = run_load(program.address, 20, seed=2)
         assert program.reload(trace=None)["text"] == "done"
-        assert sum(load(program.address, 20, seed=3).values()) == 20
+        assert sum(run_load(program.address, 20, seed=3).values()) == 20
         records = read_traces(folder)
         assert sum(isinstance(r, Request) for r in records) == 20
         assert sum(isinstance(r, Ended) for r in records) == answers["UP"] > 0
@@ -150,15 +150,15 @@
         )
 
 
-def test_a_missing_folder_delays_nothing_and_is_used_once_it_exists(tmp_path: Path, hosts: Hosts) -> None:
+def test_a_missing_folder_delays_nothing_and_is_used_once_it_exists(tmp_path: Path, hosts: StubHosts) -> None:
     folder = tmp_path / "later"
-    with running(tmp_path, hosts, trace=trace_config(folder)) as program:
-        assert sum(load(program.address, 30).values()) == 30
+    with running_daemon(tmp_path, hosts, trace=trace_config(folder)) as program:
+        assert sum(run_load(program.address, 30).values()) == 30
         assert program.wait_for("trace not written")["part"] == "trace"
         folder.mkdir()
         end = time.monotonic() + 10
         while program.counters().get("trace_records", 0) == 0:  # the folder is retried within two seconds
-            assert time.monotonic() < end and sum(load(program.address, 5, seed=2).values()) == 5
+            assert time.monotonic() < end and sum(run_load(program.address, 5, seed=2).values()) == 5
         counters = program.stop()
     assert counters["trace_lost"] > 30 and any(isinstance(r, Answer) for r in read_traces(folder))
 
@@ -173,12 +173,12 @@
     assert not libraries & set(json.loads(out))
 
 
-def test_a_refused_request_is_kept_despite_a_share_of_zero(tmp_path: Path, hosts: Hosts) -> None:
+def test_a_refused_request_is_kept_despite_a_share_of_zero(tmp_path: Path, hosts: StubHosts) -> None:
     hosts.mode.update(dict.fromkeys(hosts.names, "full"))
-    with running(tmp_path, hosts, trace=trace_config(tmp_path, keep={"feed": 0, "edit": 0})) as program:
-        refused = load(program.address, 30)
+    with running_daemon(tmp_path, hosts, trace=trace_config(tmp_path, keep={"feed": 0, "edit": 0})) as program:
+        refused = run_load(program.address, 30)
         hosts.mode.clear()
-        served = load(program.address, 30, seed=2)
+        served = run_load(program.address, 30, seed=2)
         assert refused["BUSY"] == 30 and served["UP"] > 0
         program.stop()
     summary = Summary()
