--- a/bramblestile/memory/pending.py
+++ b/bramblestile/memory/pending.py
@@ -46,7 +46,7 @@
         self._sent_away.add(sock)
         sockets.shut_down(sock, socket.SHUT_RD)
 
-    def add(self, sock: socket.socket) -> None:
+    def track(self, sock: socket.socket) -> None:
         with self._changed:
             self._held[sock] = now()
 
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -110,7 +110,7 @@
                 continue
             self._counters.add(f"{self._name}_accepted")
             if self._pending_downstreams is not None:
-                self._pending_downstreams.add(sock)
+                self._pending_downstreams.track(sock)
             try:
                 self.run(partial(self._live, sock))
             except RuntimeError:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -249,7 +249,7 @@
             replaced({"discovery": name[new]}, "done")
             followed = Peer(new.accept()[0])
             assert followed.line() == "GET /v1/servers HTTP/1.1"  # the old one's versions mean nothing here
-            while watched.more():
+            while watched.receive():
                 pass  # what was still to be read of the call that waited, then its end
             gone = json.dumps({"seq": 1, "whole": True, "hosts": []})
             followed.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(gone)}\r\n\r\n{gone}".encode())
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -91,7 +91,7 @@
     ours, theirs = zip(*(socket.socketpair() for _ in range(2)), strict=True)
     lobby = PendingDownstreams(2)
     for sock in ours:
-        lobby.add(sock)
+        lobby.track(sock)
     lobby.evict_oldest()
     assert ours[0].recv(1) == b"" and not lobby.remove(ours[0]) and lobby.remove(ours[1])
     for sock in ours + theirs:
