--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -58,9 +58,9 @@
     """
     settings = settings_form.parse_settings(SETTINGS)[0]
     with tempfile.TemporaryDirectory() as folder:
-        tracing, counters = TracerHandle(), Counters()
+        handle, counters = TracerHandle(), Counters()
         recorder = Recorder(RecorderConfig(Path(folder), "n1", "-"), counters)
-        decisions = Decisions(settings, 1, Cluster(), counters, tracing, "lines")
+        decisions = Decisions(settings, 1, Cluster(), counters, handle, "lines")
         pending_probes: list[str] = []
         decisions.on_probe = pending_probes.append
         decisions.update_list(
@@ -70,11 +70,11 @@
         number = 0
         for round_number in range(rounds * 2):
             traced = round_number % 2 == round_number // 2 % 2
-            tracing.current = recorder if traced else Tracer()
+            handle.current = recorder if traced else Tracer()
             started = time.thread_time()
             for _ in range(batch):
                 number += 1
-                _serve_request(decisions, tracing.current, pending_probes, f"{number:016x}")
+                _serve_request(decisions, handle.current, pending_probes, f"{number:016x}")
             if traced:
                 recorder.flush()
             cost_us[traced].append((time.thread_time() - started) / batch * 1e6)
@@ -82,17 +82,17 @@
 
 
 def _serve_request(decisions: Decisions, tracer: Tracer, pending_probes: list[str], request_id: str) -> None:
-    """Do what ``life.live`` does to trace a request that is served."""
+    """Do what ``life.serve_request`` does to trace a request that is served."""
     request = api.Request(request_id, "feed", 1_485_000, "vestland-museum", 77, 5)
-    visit = decisions.register(request_id, now() + timedelta(seconds=1))
-    assert visit is not None
+    active_request = decisions.register(request_id, now() + timedelta(seconds=1))
+    assert active_request is not None
     tracer.request(now(), "lines", request, None)
     decisions.handle_event(request)
     while pending_probes:
         decisions.handle_event(
             api.ProbeResult(pending_probes.pop(), api.Status.SERVED, 900, api.Report(load=1e-4, latency_ms=2.0))
         )
-    choice = visit.next_choice()
+    choice = active_request.next_choice()
     assert isinstance(choice, api.Attempt)
     at = now()
     tracer.attempt(at, request_id, 0, choice.backend, "up", 900)
@@ -101,7 +101,7 @@
     decisions.handle_event(api.Opened(request_id, 0, choice.backend, 900))
     tracer.ended(at, request_id, choice.backend, "served", timedelta(seconds=2), False)
     decisions.handle_event(api.Outcome(request_id, 0, choice.backend, api.Status.SERVED, 900, finished=True))
-    decisions.unregister(visit)
+    decisions.unregister(active_request)
 
 
 @click.command()
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -64,12 +64,12 @@
         self.file = file
 
     def write(self, data: bytes) -> int:
-        view = memoryview(data)
-        while view:
-            written = self.file.write(view)
+        remaining = memoryview(data)
+        while remaining:
+            written = self.file.write(remaining)
             if not written:
                 raise OSError("the file accepts no more bytes")
-            view = view[written:]
+            remaining = remaining[written:]
         return len(data)
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -137,8 +137,8 @@
             self.builder.note(now, event)
         elif isinstance(event, api.BackendList):
             self.builder.listed(now, "lines", event)
-        for view in self.balancer.decisions:
-            self.builder.decision(now, view)
+        for decision in self.balancer.decisions:
+            self.builder.decision(now, decision)
         for action in actions:
             self.execute(action, event)
 
