--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,7 +1,7 @@
-"""Operators' calls and upgrades, measured on real processes: ``python -m benchmarks.operations [SECONDS]``.
+"""Measure management calls and upgrades on real processes: ``python -m benchmarks.operations [SECONDS]``.
 
-Answer times of ``readyz`` at rest, beside slow callers, and beside those under data load; then what clients see of an
-upgrade. One run on one machine; the load is a few hundred connections on loopback.
+First the response times of ``readyz``: idle, beside slow callers, and beside those under client load. Then what clients
+notice of upgrades. The load is a few hundred connections on loopback.
 """
 
 from __future__ import annotations
@@ -18,38 +18,46 @@
 from bramblestile.operations import server
 from tests.upgrade import Balancer, Client, serving
 
-STANDING = 50
+ESTABLISHED_CLIENTS = 50
 UPGRADES = 5
+LOAD_THREADS = 8
+FIRST_NUMBER_STEP = 10**7  # between the request numbers of two threads
 
 
-def answers(balancer: Balancer, seconds: float) -> str:
-    """Milliseconds: median, 99th percentile, most."""
-    took: list[float] = []
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+def measure_response_times(balancer: Balancer, duration_s: float) -> str:
+    """Call ``readyz`` repeatedly; return the number of calls and the percentiles in milliseconds."""
+    times_ms: list[float] = []
+    deadline = time.monotonic() + duration_s
+    while time.monotonic() < deadline:
         began = time.monotonic()
         if balancer.call("GET /v1/readyz") != 200:
-            return "a call was answered with no"
-        took.append((time.monotonic() - began) * 1e3)
-    took.sort()
-    half, most = took[len(took) // 2], took[len(took) * 99 // 100]
-    return f"{len(took)} calls, p50 {half:.1f} ms, p99 {most:.1f}, max {took[-1]:.1f}"
-
-
-class Load:
-    """Clients that come, say a line and leave; ``failed`` are those that were not served."""
-
-    def __init__(self, balancer: Balancer, streams: int) -> None:
-        self.balancer, self.over = balancer, threading.Event()
-        self.came, self.refused, self.failed = 0, 0, 0
-        self.threads = [threading.Thread(target=self._run, args=((n + 1) * 10**7,)) for n in range(streams)]
+            return "a call failed"
+        times_ms.append((time.monotonic() - began) * 1e3)
+    times_ms.sort()
+    p50, p99 = times_ms[len(times_ms) // 2], times_ms[len(times_ms) * 99 // 100]
+    return f"{len(times_ms)} calls, p50 {p50:.1f} ms, p99 {p99:.1f}, max {times_ms[-1]:.1f}"
+
+
+class ClientLoad:
+    """Threads of clients that connect, exchange a line and disconnect; started by the constructor.
+
+    ``attempts`` counts the connections tried, ``refused`` those answered with BUSY, and ``failed`` those that were
+    neither served nor refused.
+    """
+
+    def __init__(self, balancer: Balancer, thread_count: int) -> None:
+        self.balancer, self.stopped = balancer, threading.Event()
+        self.attempts, self.refused, self.failed = 0, 0, 0
+        self.threads = [
+            threading.Thread(target=self._run, args=((n + 1) * FIRST_NUMBER_STEP,)) for n in range(thread_count)
+        ]
         for thread in self.threads:
             thread.start()
 
     def _run(self, number: int) -> None:
-        while not self.over.is_set():
+        while not self.stopped.is_set():
             number += 1
-            self.came += 1
+            self.attempts += 1
             try:
                 client = Client(self.balancer, number)
                 if client.up and client.echoes():
@@ -63,37 +71,43 @@
                 self.failed += 1
 
     def stop(self) -> None:
-        self.over.set()
+        """Stop the threads."""
+        self.stopped.set()
         for thread in self.threads:
             thread.join()
 
 
 def main() -> None:
-    seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 5.0
+    """Run all measurements and print their results."""
+    duration_s = float(sys.argv[1]) if len(sys.argv) > 1 else 5.0
     with tempfile.TemporaryDirectory() as folder, serving(Path(folder), "h0", "h1", "h2") as (balancer, _):
         balancer.start()
-        print("at rest:", answers(balancer, seconds))
-        slow = [socket.create_connection(balancer.managed[-1]) for _ in range(server.MOST)]
-        for sock in slow:
+        print("idle:", measure_response_times(balancer, duration_s))
+        slow_callers = [socket.create_connection(balancer.managed[-1]) for _ in range(server.MOST)]
+        for sock in slow_callers:
             with contextlib.suppress(OSError):
                 sock.sendall(b"PUT /v1/bal")
-        print(f"beside {len(slow)} callers without a whole call:", answers(balancer, min(seconds, 2.0)))
-        load = Load(balancer, 8)
-        print("and under data load:", answers(balancer, seconds))
-        standing = [Client(balancer, n) for n in range(1, STANDING + 1)]
-        up, times, moved = sum(client.up for client in standing), [], 0
-        came, refused, failed = load.came, load.refused, load.failed
+        print(
+            f"beside {len(slow_callers)} callers that never complete a request:",
+            measure_response_times(balancer, min(duration_s, 2.0)),
+        )
+        load = ClientLoad(balancer, LOAD_THREADS)
+        print("and under client load:", measure_response_times(balancer, duration_s))
+        established = [Client(balancer, n) for n in range(1, ESTABLISHED_CLIENTS + 1)]
+        up, durations_s, moved = sum(client.up for client in established), [], 0
+        attempts, refused, failed = load.attempts, load.refused, load.failed
         for _ in range(UPGRADES):
             began = time.monotonic()
-            said = balancer.replace()
-            times.append(time.monotonic() - began)
-            moved += sum(int(n) for n in re.findall(r'"moved":(\d+)', said[-1]))
+            log_lines = balancer.replace()
+            durations_s.append(time.monotonic() - began)
+            moved += sum(int(n) for n in re.findall(r'"moved":(\d+)', log_lines[-1]))
         load.stop()
-        stand = sum(client.up and client.echoes() for client in standing)
+        remaining = sum(client.up and client.echoes() for client in established)
         print(
-            f"{UPGRADES} upgrades of {min(times):.2f} to {max(times):.2f} s: {load.came - came} came, "
-            f"{load.refused - refused} refused, {load.failed - failed} neither served nor refused; "
-            f"of {up} that stood {stand} stand, {moved} moved"
+            f"{UPGRADES} upgrades of {min(durations_s):.2f} to {max(durations_s):.2f} s: "
+            f"{load.attempts - attempts} requests, {load.refused - refused} refused, "
+            f"{load.failed - failed} neither served nor refused; "
+            f"of {up} established connections {remaining} remain, {moved} moved"
         )
 
 
--- a/benchmarks/tls_rotate.py
+++ b/benchmarks/tls_rotate.py
@@ -1,8 +1,9 @@
-"""Certificates and authorities change every few seconds under load: nobody is cut, refused wrongly or believed wrongly.
+"""Rotate certificates and authorities every few seconds under load.
 
-Each round is the documented procedure: both authorities in the balancer's file, the hosts and the client certificate
-change to the new one, the old one goes. Meanwhile connections stand, new ones come, and a host with a stranger's
-certificate is listed, which must never take a request. Hosts check client certificates too.
+No connection may be cut or wrongly refused, and no certificate wrongly accepted. Each round follows the documented
+procedure: both authorities are put into the balancer's file, the hosts and the client certificate change to the new
+one, and the old one is removed. Meanwhile connections stay open and new ones are made. A host with a certificate of an
+untrusted authority is listed too, and must never get a request. StubHosts verify client certificates as well.
 """
 
 from __future__ import annotations
@@ -20,37 +21,45 @@
 from tests.authority import Authority, Issued
 from tests.load import StubHosts, run_load, running_daemon
 
+UNTRUSTED_HOST = "h4"  # the last one
+
 
 class Rotation:
-    """The files of the balancer and what the hosts show. The last host is the stranger."""
+    """The TLS files of the balancer, in a folder, and the certificates of the hosts.
+
+    ``authority`` is the present authority and ``previous_authority`` the one before it.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.authority = Authority("authority 0")
-        self.before: Authority | None = None
-        self.stranger = Authority("a stranger's authority")
-        self.put("ca.pem", self.authority.file.read_bytes())
-        self.client()
+        self.previous_authority: Authority | None = None
+        self.untrusted_authority = Authority("an untrusted authority")
+        self.write_file("ca.pem", self.authority.file.read_bytes())
+        self.renew_client_certificate()
 
-    def put(self, name: str, raw: bytes) -> None:
+    def write_file(self, name: str, content: bytes) -> None:
+        """Replace a file atomically."""
         path = self.folder / name
-        beside = self.folder / (name + ".new")
-        beside.write_bytes(raw)
-        beside.chmod(0o600)
-        beside.rename(path)
-
-    def client(self) -> None:
-        mine: Issued = self.authority.issue("balancer", server=False)
-        self.put("client.key", mine.key_file.read_bytes())
-        self.put("client.pem", mine.cert_file.read_bytes())
-
-    def server(self, name: str) -> ssl.SSLContext:
-        if name == "h4":
-            return self.stranger.issue(name).server()
-        made = self.authority.issue(name).server(clients=self.authority)
-        if self.before is not None:
-            made.load_verify_locations(self.before.file)
-        return made
+        temporary = self.folder / (name + ".new")
+        temporary.write_bytes(content)
+        temporary.chmod(0o600)
+        temporary.rename(path)
+
+    def renew_client_certificate(self) -> None:
+        """Write a new client certificate and its key, issued by the present authority."""
+        issued: Issued = self.authority.issue("balancer", server=False)
+        self.write_file("client.key", issued.key_file.read_bytes())
+        self.write_file("client.pem", issued.cert_file.read_bytes())
+
+    def server_context(self, name: str) -> ssl.SSLContext:
+        """Return the TLS context of a host, with a new certificate."""
+        if name == UNTRUSTED_HOST:
+            return self.untrusted_authority.issue(name).server()
+        context = self.authority.issue(name).server(clients=self.authority)
+        if self.previous_authority is not None:
+            context.load_verify_locations(self.previous_authority.file)
+        return context
 
 
 @click.command()
@@ -59,29 +68,35 @@
 @click.option("--standing", default=50, show_default=True)
 def main(rounds: int, every: float, standing: int) -> None:
     """Rotate certificates and authorities under load."""
-    logging.disable()
-    got: Counter[str] = Counter()
-    stood: Counter[str] = Counter()
-    with tempfile.TemporaryDirectory() as name, tempfile.TemporaryDirectory() as config:
-        folder = Path(name)
+    logging.disable()  # the certificates expire within days, which would be logged as warnings
+    results: Counter[str] = Counter()
+    long_lived_results: Counter[str] = Counter()
+    with tempfile.TemporaryDirectory() as tls_folder, tempfile.TemporaryDirectory() as config_folder:
+        folder = Path(tls_folder)
         rotation = Rotation(folder)
-        hosts = StubHosts(5, life=-1, tls=rotation.server)
-        table = {"ca": str(folder / "ca.pem"), "cert": str(folder / "client.pem"), "key": str(folder / "client.key")}
-        over = threading.Event()
-
-        def keep_asking() -> None:
+        hosts = StubHosts(5, life=-1, tls=rotation.server_context)
+        tls_config = {
+            "ca": str(folder / "ca.pem"),
+            "cert": str(folder / "client.pem"),
+            "key": str(folder / "client.key"),
+        }
+        stopped = threading.Event()
+
+        def keep_connecting() -> None:
             seed = 1
-            while not over.is_set():
-                got.update(run_load(program.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
+            while not stopped.is_set():
+                results.update(run_load(program.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
 
         try:
-            with running_daemon(Path(config), hosts, tls=table) as program:
-                span = rounds * every + 2
+            with running_daemon(Path(config_folder), hosts, tls=tls_config) as program:
+                stay_s = rounds * every + 2
                 threads = [
-                    threading.Thread(target=keep_asking),
+                    threading.Thread(target=keep_connecting),
                     threading.Thread(
-                        target=lambda: stood.update(
-                            run_load(program.address, standing, at_once=standing, seed=99, stay=span, within=span + 20)
+                        target=lambda: long_lived_results.update(
+                            run_load(
+                                program.address, standing, at_once=standing, seed=99, stay=stay_s, within=stay_s + 20
+                            )
                         )
                     ),
                 ]
@@ -89,22 +104,27 @@
                     thread.start()
                 for n in range(rounds):
                     began = time.monotonic()
-                    taken = program.counters().get("tls_files_taken", 0)
-                    rotation.before, rotation.authority = rotation.authority, Authority(f"authority {n + 1}")
-                    both = rotation.before.file.read_bytes() + rotation.authority.file.read_bytes()
-                    rotation.put("ca.pem", both)
-                    while program.counters().get("tls_files_taken", 0) == taken:
+                    loaded = program.counters().get("tls_files_taken", 0)
+                    rotation.previous_authority, rotation.authority = (
+                        rotation.authority,
+                        Authority(f"authority {n + 1}"),
+                    )
+                    both_authorities = (
+                        rotation.previous_authority.file.read_bytes() + rotation.authority.file.read_bytes()
+                    )
+                    rotation.write_file("ca.pem", both_authorities)
+                    while program.counters().get("tls_files_taken", 0) == loaded:
                         time.sleep(0.1)
                     for host in hosts.names:
                         hosts.on_loop(hosts.renew(host))
-                    taken = program.counters().get("tls_files_taken", 0)
-                    rotation.client()
-                    while program.counters().get("tls_files_taken", 0) == taken:
+                    loaded = program.counters().get("tls_files_taken", 0)
+                    rotation.renew_client_certificate()
+                    while program.counters().get("tls_files_taken", 0) == loaded:
                         time.sleep(0.1)
-                    rotation.put("ca.pem", rotation.authority.file.read_bytes())
+                    rotation.write_file("ca.pem", rotation.authority.file.read_bytes())
                     time.sleep(max(0.0, began + every - time.monotonic()))
                 counters = program.counters()
-                over.set()
+                stopped.set()
                 for thread in threads:
                     thread.join()
                 program.stop()
@@ -112,16 +132,19 @@
             hosts.stop()
     refused = {k: v for k, v in counters.items() if k.startswith("tls_refused")}
     click.echo(
-        f"{rounds} rounds of {every:.0f} s: {counters['tls_files_taken']} changes of files taken, "
-        f"{counters.get('tls_files_refused', 0)} refused as half-written"
+        f"{rounds} rounds of {every:.0f} s: {counters['tls_files_taken']} changed files loaded, "
+        f"{counters.get('tls_files_refused', 0)} rejected as half-written"
+    )
+    click.echo(
+        f"connections that stayed open throughout: {long_lived_results['UP']} of {standing}; "
+        f"cut {long_lived_results['cut']}, moved {long_lived_results['moved']}"
     )
-    click.echo(f"standing through all of it: {stood['UP']} of {standing}; cut {stood['cut']}, moved {stood['moved']}")
     click.echo(
-        f"new connections: {got['UP']} served, {got['BUSY']} refused, {got['ERR']} failed, {got['cut']} cut; "
-        f"handshakes {counters['tls_full']} full, {counters['tls_resumed']} resumed"
+        f"new connections: {results['UP']} served, {results['BUSY']} refused, {results['ERR']} failed, "
+        f"{results['cut']} cut; handshakes {counters['tls_full']} full, {counters['tls_resumed']} resumed"
     )
     click.echo(
-        f"the stranger took {hosts.taken['h4']} requests; certificates refused: {refused}, "
+        f"the untrusted host got {hosts.taken[UNTRUSTED_HOST]} requests; certificates refused: {refused}, "
         f"handshakes failed {counters.get('tls_failed', 0)}"
     )
 
