--- a/benchmarks/tls_rotate.py
+++ b/benchmarks/tls_rotate.py
@@ -3,7 +3,7 @@
 No connection may be cut or wrongly refused, and no certificate wrongly accepted. Each round follows the documented
 procedure: both authorities are put into the balancer's file, the hosts and the client certificate change to the new
 one, and the old one is removed. Meanwhile connections stay open and new ones are made. A host with a certificate of an
-untrusted authority is listed too, and must never get a request. StubHosts verify client certificates as well.
+untrusted authority is listed too, and must never get a request. Hosts verify client certificates as well.
 """
 
 from __future__ import annotations
@@ -85,17 +85,17 @@
         def keep_connecting() -> None:
             seed = 1
             while not stopped.is_set():
-                results.update(run_load(program.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
+                results.update(run_load(daemon.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
 
         try:
-            with running_daemon(Path(config_folder), hosts, tls=tls_config) as program:
+            with running_daemon(Path(config_folder), hosts, tls=tls_config) as daemon:
                 stay_s = rounds * every + 2
                 threads = [
                     threading.Thread(target=keep_connecting),
                     threading.Thread(
                         target=lambda: long_lived_results.update(
                             run_load(
-                                program.address, standing, at_once=standing, seed=99, stay=stay_s, within=stay_s + 20
+                                daemon.address, standing, at_once=standing, seed=99, stay=stay_s, within=stay_s + 20
                             )
                         )
                     ),
@@ -104,7 +104,7 @@
                     thread.start()
                 for n in range(rounds):
                     began = time.monotonic()
-                    loaded = program.counters().get("tls_files_taken", 0)
+                    loaded = daemon.counters().get("tls_files_taken", 0)
                     rotation.previous_authority, rotation.authority = (
                         rotation.authority,
                         Authority(f"authority {n + 1}"),
@@ -113,21 +113,21 @@
                         rotation.previous_authority.file.read_bytes() + rotation.authority.file.read_bytes()
                     )
                     rotation.write_file("ca.pem", both_authorities)
-                    while program.counters().get("tls_files_taken", 0) == loaded:
+                    while daemon.counters().get("tls_files_taken", 0) == loaded:
                         time.sleep(0.1)
                     for host in hosts.names:
                         hosts.on_loop(hosts.renew(host))
-                    loaded = program.counters().get("tls_files_taken", 0)
+                    loaded = daemon.counters().get("tls_files_taken", 0)
                     rotation.renew_client_certificate()
-                    while program.counters().get("tls_files_taken", 0) == loaded:
+                    while daemon.counters().get("tls_files_taken", 0) == loaded:
                         time.sleep(0.1)
                     rotation.write_file("ca.pem", rotation.authority.file.read_bytes())
                     time.sleep(max(0.0, began + every - time.monotonic()))
-                counters = program.counters()
+                counters = daemon.counters()
                 stopped.set()
                 for thread in threads:
                     thread.join()
-                program.stop()
+                daemon.stop()
         finally:
             hosts.stop()
     refused = {k: v for k, v in counters.items() if k.startswith("tls_refused")}
--- a/benchmarks/tls_wave.py
+++ b/benchmarks/tls_wave.py
@@ -68,26 +68,26 @@
     try:
         with (
             tempfile.TemporaryDirectory() as folder,
-            running_daemon(Path(folder), hosts, tls=tls_config, settings=settings()) as program,
+            running_daemon(Path(folder), hosts, tls=tls_config, settings=settings()) as daemon,
         ):
             load_thread = threading.Thread(
-                target=lambda: results.update(run_load(program.address, count, at_once, within=120))
+                target=lambda: results.update(run_load(daemon.address, count, at_once, within=120))
             )
             load_thread.start()
             time.sleep(WARM_UP_S)
-            after_warm_up = program.counters()
+            after_warm_up = daemon.counters()
             time.sleep(BASELINE_S)
-            before_restart = program.counters()
+            before_restart = daemon.counters()
             restarted_hosts = hosts.names[:restart]
             for name in restarted_hosts:
                 hosts.on_loop(hosts.restart(name))
             restarted_at = time.monotonic()
             if list_shows_restart:
-                assert program.reload(known={"seq": 2, "hosts": hosts.entries()})["text"] == "done"
+                assert daemon.reload(known={"seq": 2, "hosts": hosts.entries()})["text"] == "done"
             load_thread.join()
             duration_s = time.monotonic() - restarted_at
-            at_end = program.counters()
-            program.stop()
+            at_end = daemon.counters()
+            daemon.stop()
     finally:
         hosts.stop()
     full_handshakes = {
