--- a/bramblestile/lab/processes.py
+++ b/bramblestile/lab/processes.py
@@ -25,7 +25,7 @@
 
 
 class BalancerProcess:
-    """A named balancer, of which one process at a time runs.
+    """A balancer, of which at most one process runs at a time.
 
     ``config`` is written to the process's folder at each start, so that changes take effect at the next one. ``paused``
     is whether the process was stopped by ``pause``. ``command`` replaces ``python -m bramblestile``.
