--- a/bramblestile/__init__.py
+++ b/bramblestile/__init__.py
@@ -1,3 +1,3 @@
-"""The program round the decision module: sockets, what is remembered, start and stop. Start at ``life``."""
+"""The balancer process around the decision module: sockets, connection state, start and stop. Start at ``life``."""
 
 __version__ = "0.2.0"
--- a/bramblestile/__main__.py
+++ b/bramblestile/__main__.py
@@ -1,13 +1,15 @@
-"""``python -m bramblestile [FILE]``: one balancer. With a sub-command, the tools (``--help`` names them).
+"""Command-line entry point: ``python -m bramblestile [FILE]`` runs one balancer, a sub-command runs one of the tools.
 
-The platform's line has no sub-command and few megabytes: on that way no library of the tools is loaded, and a
-command loads nothing of the balancer that it does not use: a window of a trace is to be there within a second.
+``--help`` lists the sub-commands. Imports are deferred on purpose. The platform starts the balancer without a
+sub-command and with little memory, so that path loads none of the tools' libraries. A command loads only what it uses
+of the balancer: ``trace`` has to show a window of a trace within a second.
 """
 
 import sys
 
 
 def main() -> int:
+    """Run the balancer or a sub-command and return the exit status."""
     arguments = sys.argv[1:]
     if not arguments or (len(arguments) == 1 and arguments[0].endswith((".toml", ".json"))):
         from bramblestile.process import daemon
--- a/bramblestile/clock.py
+++ b/bramblestile/clock.py
@@ -1,19 +1,21 @@
-"""One clock for the whole program. A time is the span since the Unix epoch, a span is a timedelta."""
+"""The process clock. Points in time and durations are ``timedelta``; a point in time counts from the Unix epoch."""
 
 from __future__ import annotations
 
 import time
 from datetime import timedelta
 
-# Read once: the machine's clock may be set while we run, and a time that jumps would end every deadline.
-_OFFSET_NS = time.time_ns() - time.monotonic_ns()
+# Read once: the system clock may be stepped while the process runs, and a jump would expire every deadline at once.
+_EPOCH_OFFSET_NS = time.time_ns() - time.monotonic_ns()
 ZERO_DURATION = timedelta(0)
 MICROSECOND = timedelta(microseconds=1)
 
 
 def now() -> timedelta:
-    return timedelta(microseconds=(time.monotonic_ns() + _OFFSET_NS) // 1000)
+    """Return the current time since the Unix epoch, to the microsecond. It never goes backwards."""
+    return timedelta(microseconds=(time.monotonic_ns() + _EPOCH_OFFSET_NS) // 1000)
 
 
-def to_milliseconds(span: timedelta) -> int:
-    return span // timedelta(milliseconds=1)
+def to_milliseconds(duration: timedelta) -> int:
+    """Return the whole milliseconds of a duration, rounded down."""
+    return duration // timedelta(milliseconds=1)
--- a/bramblestile/log.py
+++ b/bramblestile/log.py
@@ -1,8 +1,8 @@
-"""The program's log on standard error: events with fields, a level, and what is bound to a request.
+"""Structured logging to standard error: events with fields, a level, and fields that are bound to a request.
 
-On the standard library's logging: structlog would add 11.6 MB to a program of 17 (docs/design/trace.md), and the
-platform gives 80. For a person at a terminal a line is ``event key=value``, otherwise one JSON object. What a client
-can cause comes seldom: whoever can make us log must not make us log at his speed.
+Built on the standard library's ``logging``: structlog would add 11.6 MB to a process of 17 MB (docs/design/trace.md),
+and the platform allows 80 MB. On a terminal a line is ``event key=value``, otherwise one JSON object. Warnings that a
+client can cause are rate-limited, so that no client decides how fast the process writes its log.
 """
 
 from __future__ import annotations
@@ -17,13 +17,11 @@
 
 from bramblestile.clock import now
 
-RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # between two lines of one kind
-MAX_RATE_LIMITED_EVENTS = (
-    256  # of lines whose last time is remembered; kinds are named in the code, so this is never reached
-)
+RATE_LIMIT_INTERVAL = timedelta(seconds=1)  # minimum time between two rate-limited lines of one event
+MAX_RATE_LIMITED_EVENTS = 256  # bounds the table below; event names are literals, so it is never reached
 LEVELS = ("debug", "info", "warning", "error")
 FORMATS = ("auto", "json", "text")
-MAX_FIELD_CHARS = 2000  # letters of one field: what a peer has sent must not fill the log
+MAX_FIELD_CHARS = 2000  # bounds what a peer can write into the log with one line
 _logger = logging.getLogger("bramblestile")
 _logger.propagate = False
 _logger.setLevel(logging.INFO)
@@ -32,7 +30,7 @@
     _Handler = logging.StreamHandler[IO[str]]
 else:
     _Handler = logging.StreamHandler
-_said: dict[str, tuple[timedelta, int]] = {}  # kind: when it was last logged, how many were passed over since
+_rate_limits: dict[str, tuple[timedelta, int]] = {}  # event: time of its last line, number suppressed since
 Sink = Callable[[str, str, str, dict[str, Any]], None]  # level, event, text, fields
 _sinks: list[Sink] = []
 
@@ -46,24 +44,24 @@
 
 class _Json(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
-        at = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
-        said: dict[str, Any] = {
-            "time": at,
+        timestamp = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
+        entry: dict[str, Any] = {
+            "time": timestamp,
             "level": record.levelname.lower(),
             "event": record.msg,
             **getattr(record, "fields", {}),
         }
         if record.exc_info:
-            said["exception"] = self.formatException(record.exc_info)
-        return json.dumps(said, ensure_ascii=False, separators=(",", ":"))
+            entry["exception"] = self.formatException(record.exc_info)
+        return json.dumps(entry, ensure_ascii=False, separators=(",", ":"))
 
 
 class _Text(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         fields = getattr(record, "fields", {})
         pairs = [f"{k}={json.dumps(v, ensure_ascii=False) if _needs_quotes(v) else v}" for k, v in fields.items()]
-        at = datetime.fromtimestamp(record.created).strftime("%H:%M:%S.%f")[:-3]
-        line = " ".join([at, f"{record.levelname.lower():7}", str(record.msg), *pairs])
+        timestamp = datetime.fromtimestamp(record.created).strftime("%H:%M:%S.%f")[:-3]
+        line = " ".join([timestamp, f"{record.levelname.lower():7}", str(record.msg), *pairs])
         return line + ("\n" + self.formatException(record.exc_info) if record.exc_info else "")
 
 
@@ -72,7 +70,7 @@
 
 
 class _Stderr(_Handler):
-    """Whatever standard error is at the moment: it may have been put elsewhere since."""
+    """Writes to whatever ``sys.stderr`` is at the moment, since it may be replaced after the handler is made."""
 
     def __init__(self) -> None:
         logging.Handler.__init__(self)
@@ -83,17 +81,17 @@
 
 
 def configure(level: str = "info", form: str = "auto") -> None:
-    """Once at the start, and again at a reload."""
+    """Set the level and the output format, one of ``FORMATS``. Called at the start and at each reload."""
     handler = _Stderr()
     as_text = sys.stderr.isatty() if form == "auto" else form == "text"
     handler.setFormatter(_Text() if as_text else _Json())
     _logger.handlers[:] = [handler]
     _logger.setLevel(level.upper())
-    logging.raiseExceptions = False  # a log that nobody reads any more must not end a request
+    logging.raiseExceptions = False  # a closed standard error must not fail a request
 
 
 class Log:
-    """``bound`` stands on every line, a request's id for example."""
+    """A logger that adds its ``bound`` fields, such as a request's id, to every line."""
 
     __slots__ = ("bound",)
 
@@ -101,53 +99,63 @@
         self.bound = bound
 
     def bind(self, **more: Any) -> Log:
+        """Return a logger with further bound fields."""
         return Log(**{**self.bound, **more})
 
     def debug(self, event: str, **fields: Any) -> None:
-        self._say(logging.DEBUG, event, fields)
+        """Log an event at level debug."""
+        self._write(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        self._say(logging.INFO, event, fields)
+        """Log an event at level info."""
+        self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        self._say(logging.WARNING, event, fields)
+        """Log an event at level warning."""
+        self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        self._say(logging.ERROR, event, fields)
+        """Log an event at level error."""
+        self._write(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        """With the traceback of the exception in hand: a fault of ours, never of a peer's."""
-        self._say(logging.ERROR, event, fields, exception=True)
+        """Log the exception that is being handled, with its traceback: a fault of this program, not of a peer."""
+        self._write(logging.ERROR, event, fields, exception=True)
 
     def warning_rate_limited(self, event: str, **fields: Any) -> None:
-        """A warning that a peer can cause at will: one of a kind each second, the rest are only counted."""
+        """Log a warning that a peer can cause at will, at most once per event and ``RATE_LIMIT_INTERVAL``.
+
+        The number of suppressed lines goes into the field ``more_before`` of the next one.
+        """
         with _lock:
-            last, passed_over = _said.get(event, (-RATE_LIMIT_INTERVAL, 0))
+            last, suppressed = _rate_limits.get(event, (-RATE_LIMIT_INTERVAL, 0))
             due = now() - last >= RATE_LIMIT_INTERVAL
-            if event in _said or len(_said) < MAX_RATE_LIMITED_EVENTS:
-                _said[event] = (now(), 0) if due else (last, passed_over + 1)
+            if event in _rate_limits or len(_rate_limits) < MAX_RATE_LIMITED_EVENTS:
+                _rate_limits[event] = (now(), 0) if due else (last, suppressed + 1)
         if due:
-            self._say(logging.WARNING, event, {**fields, **({"more_before": passed_over} if passed_over else {})})
+            self._write(logging.WARNING, event, {**fields, **({"more_before": suppressed} if suppressed else {})})
 
-    def _say(self, level: int, event: str, fields: dict[str, Any], exception: bool = False) -> None:
+    def _write(self, level: int, event: str, fields: dict[str, Any], exception: bool = False) -> None:
         if not _logger.isEnabledFor(level):
             return
-        said = {k: _plain(v) for k, v in {**self.bound, **fields}.items()}
+        entry = {k: _plain(v) for k, v in {**self.bound, **fields}.items()}
         if not _logger.handlers:
             configure()
-        _logger.log(level, event, extra={"fields": said}, exc_info=exception)
+        _logger.log(level, event, extra={"fields": entry}, exc_info=exception)
         for sink in _sinks:
             sink(
                 logging.getLevelName(level).lower(),
                 event,
-                " ".join(f"{k}={v}" for k, v in said.items() if k != "id"),
-                said,
+                " ".join(f"{k}={v}" for k, v in entry.items() if k != "id"),
+                entry,
             )
 
 
 def add_sink(sink: Sink) -> None:
+    """Register a function that receives every logged line, in the thread that logs it."""
     _sinks.append(sink)
 
 
 def remove_sink(sink: Sink) -> None:
+    """Remove a function that ``add_sink`` registered."""
     _sinks.remove(sink)
--- a/bramblestile/sockets.py
+++ b/bramblestile/sockets.py
@@ -1,4 +1,4 @@
-"""Blocking sockets with bounds: dialling, gathered writes, reading lines in place, endings as they came."""
+"""Blocking sockets with time limits: dialling, gathered writes, line reading without copies, and closing."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 Address = tuple[str, int]
 READABLE = select.POLLIN
-WRITE_TIMEOUT = timedelta(seconds=3)  # a peer that reads nothing for so long is given up
-LINGER_TIMEOUT = timedelta(milliseconds=250)  # after our last word, for what the peer still sends
-MAX_DISCARDED_BYTES = 1 << 20  # bytes of a closing peer's that are read and dropped
-_WASTE = bytearray(65536)  # where they go, for all threads alike: nobody looks at it
-_NO_LINGER = struct.pack("ii", 1, 0)
+WRITE_TIMEOUT = timedelta(seconds=3)  # a peer that reads nothing for this long is disconnected
+LINGER_TIMEOUT = timedelta(milliseconds=250)  # how long to read what the peer still sends after a final reply
+MAX_DISCARDED_BYTES = 1 << 20  # unread input that is discarded while closing
+_DISCARD_BUFFER = bytearray(65536)  # shared by all threads, since its contents are never read
+_ABORTIVE_LINGER = struct.pack("ii", 1, 0)  # struct linger with a timeout of 0: close sends RST
 
 
 class LineTooLongError(Exception):
@@ -25,7 +25,10 @@
 
 
 class DialError(OSError):
-    """No connection was made, so nothing ran there. ``spared``: the host was not even asked, for its own good."""
+    """No connection was made, so no request can have run on the host.
+
+    ``skipped`` is true where the host was not contacted at all, in order to limit its load.
+    """
 
     def __init__(self, text: str, skipped: bool = False) -> None:
         super().__init__(text)
@@ -33,126 +36,141 @@
 
 
 class TruncatedError(ConnectionError):
-    """The peer's side ended without the word that ends it: what came may not be all that it sent."""
+    """The peer's stream ended without its end marker, so data may be missing."""
 
 
 class Channel:
-    """Bytes to and from a peer where they are not what the socket carries. A plain connection is a ``socket`` itself,
-    so that it costs nothing more; the functions below take either. Two threads may use it, one reading and one
-    writing, while any other ends it."""
+    """A byte stream whose bytes differ from those on the socket, such as TLS.
+
+    A plain connection is a ``socket`` itself and pays nothing for this class; the functions below take either. Two
+    threads may use a channel at once, one reading and one writing, while any other thread closes it.
+    """
 
     def fileno(self) -> int:
+        """Return the socket's file descriptor."""
         raise NotImplementedError
 
     def has_buffered_data(self) -> bool:
-        """``recv_into`` may return at once, whatever the socket says."""
+        """Return whether ``recv_into`` may return at once, even if the socket is not readable."""
         raise NotImplementedError
 
     def recv_into(self, buffer: bytearray | memoryview) -> int:
-        """As a socket's; TruncatedError at an end without its word. Not blocking, BlockingIOError where no whole
-        record has come yet."""
+        """Read into the buffer as ``socket.recv_into`` does.
+
+        Raises TruncatedError at an end without its marker. When non-blocking, raises BlockingIOError until a whole
+        record has arrived.
+        """
         raise NotImplementedError
 
     def send_all(self, parts: Sequence[bytes | memoryview]) -> None:
-        """All of it, within WRITE_BOUND, or OSError."""
+        """Write all parts within ``WRITE_TIMEOUT``, or raise OSError."""
         raise NotImplementedError
 
     def setblocking(self, flag: bool) -> None:
-        """Whether ``recv_into`` waits. A new channel's does not."""
+        """Set whether ``recv_into`` waits. A new channel is non-blocking."""
         raise NotImplementedError
 
     def shutdown(self, how: int) -> None:
+        """Shut down one or both directions, as ``socket.shutdown`` does."""
         raise NotImplementedError
 
     def terminate(self, reset: bool, linger: timedelta) -> None:
-        """As ``close`` below."""
+        """Close the channel; the parameters are those of ``close`` below."""
         raise NotImplementedError
 
 
 Transport = socket.socket | Channel
 
 
-def _timeval(span: timedelta) -> bytes:
-    return struct.pack("ll", span // timedelta(seconds=1), span % timedelta(seconds=1) // MICROSECOND)
+def _timeval(duration: timedelta) -> bytes:
+    return struct.pack("ll", duration // timedelta(seconds=1), duration % timedelta(seconds=1) // MICROSECOND)
 
 
 def set_options(sock: socket.socket) -> None:
-    """Blocking, without Nagle, and with bounded writes (SO_SNDTIMEO leaves reads unbounded)."""
+    """Make a socket blocking, without Nagle's algorithm, and with time-limited writes.
+
+    SO_SNDTIMEO is used because it leaves reads unlimited.
+    """
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _timeval(WRITE_TIMEOUT))
 
 
 def dial(address: Address, connect_timeout: timedelta) -> socket.socket:
-    """A connection made within the span, or OSError."""
+    """Connect within the timeout, or raise OSError."""
     sock = socket.create_connection(address, timeout=max(connect_timeout, MICROSECOND * 1000).total_seconds())
     set_options(sock)
     return sock
 
 
-def write(sock: Transport, parts: Sequence[bytes | memoryview]) -> None:
-    """One gathered write of all parts; OSError when the peer reads nothing within the bound."""
-    if isinstance(sock, Channel):
-        sock.send_all(parts)
+def write(transport: Transport, parts: Sequence[bytes | memoryview]) -> None:
+    """Write all parts with gathered writes. Raises OSError when the peer reads nothing within ``WRITE_TIMEOUT``."""
+    if isinstance(transport, Channel):
+        transport.send_all(parts)
         return
-    left = [memoryview(p) for p in parts if len(p)]
+    remaining = [memoryview(p) for p in parts if len(p)]
     until = now() + WRITE_TIMEOUT
-    while left:
-        sent = sock.sendmsg(left)
-        while left and sent >= len(left[0]):
-            sent -= len(left.pop(0))
-        if left:
-            left[0] = left[0][sent:]
+    while remaining:
+        sent = transport.sendmsg(remaining)
+        while remaining and sent >= len(remaining[0]):
+            sent -= len(remaining.pop(0))
+        if remaining:
+            remaining[0] = remaining[0][sent:]
             if now() >= until:
                 raise TimeoutError("the peer reads nothing")
 
 
 def has_disconnected(sock: socket.socket) -> bool:
-    """The peer has ended its side or reset the connection; nothing is read."""
+    """Return whether the peer has closed its side or reset the connection. Reads no data."""
     return wait((sock, select.POLLRDHUP), timeout=ZERO_DURATION) is sock
 
 
-def wait(*sides: tuple[Transport, int], timeout: timedelta) -> Transport | None:
-    """The first of these sockets, in this order, on which its event comes within the span."""
+def wait(*interests: tuple[Transport, int], timeout: timedelta) -> Transport | None:
+    """Wait for poll events and return the first transport, in the given order, that is ready; None on timeout."""
     poll = select.poll()
-    for sock, events in sides:
-        if sock.fileno() < 0 or (isinstance(sock, Channel) and events & READABLE and sock.has_buffered_data()):
-            return sock
-        poll.register(sock, events)
-    # Rounded up: a wait that ends a fraction early would turn into a busy loop at its end.
+    for transport, events in interests:
+        if transport.fileno() < 0 or (
+            isinstance(transport, Channel) and events & READABLE and transport.has_buffered_data()
+        ):
+            return transport
+        poll.register(transport, events)
+    # Rounded up: waking a fraction of a millisecond early would make the caller spin until its deadline.
     ready = {fd for fd, _ in poll.poll(max(0, to_milliseconds(timeout + timedelta(microseconds=999))))}
-    return next((sock for sock, _ in sides if sock.fileno() in ready), None)
+    return next((transport for transport, _ in interests if transport.fileno() in ready), None)
 
 
-def shut_down(sock: Transport, how: int = socket.SHUT_RDWR) -> None:
-    """Ends a socket so that every thread blocked on it returns."""
+def shut_down(transport: Transport, how: int = socket.SHUT_RDWR) -> None:
+    """Shut a transport down, so that every thread blocked on it returns. Errors are ignored."""
     with contextlib.suppress(OSError):
-        sock.shutdown(how)
+        transport.shutdown(how)
+
 
+def close(transport: Transport, reset: bool = False, linger: timedelta = ZERO_DURATION) -> None:
+    """Close with FIN, or with RST where ``reset`` is set.
 
-def close(sock: Transport, reset: bool = False, linger: timedelta = ZERO_DURATION) -> None:
-    """Closes with FIN, or with RST. What lies unread is read first, and what comes within ``linger``: closing
-    over it would send RST, which may overtake our last words. A peer that never stops sending is cut off."""
-    if isinstance(sock, Channel):
-        sock.terminate(reset, linger)
+    Unread input, and what arrives within ``linger``, is read and discarded first: closing a socket with unread input
+    sends RST, which may overtake the last bytes that were written. At most ``MAX_DISCARDED_BYTES`` are read.
+    """
+    if isinstance(transport, Channel):
+        transport.terminate(reset, linger)
         return
     with contextlib.suppress(OSError):
         if reset:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+            transport.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ABORTIVE_LINGER)
         else:
-            shut_down(sock, socket.SHUT_WR)
-            sock.setblocking(False)
+            shut_down(transport, socket.SHUT_WR)
+            transport.setblocking(False)
             until = now() + linger
-            for _ in range(MAX_DISCARDED_BYTES // len(_WASTE)):
-                if linger and wait((sock, READABLE), timeout=max(until - now(), ZERO_DURATION)) is None:
+            for _ in range(MAX_DISCARDED_BYTES // len(_DISCARD_BUFFER)):
+                if linger and wait((transport, READABLE), timeout=max(until - now(), ZERO_DURATION)) is None:
                     break
-                if not sock.recv_into(_WASTE):
+                if not transport.recv_into(_DISCARD_BUFFER):
                     break
-    sock.close()
+    transport.close()
 
 
 def reply_and_close(sock: socket.socket, line: bytes) -> None:
-    """A local reply, then the end."""
+    """Send a local reply and close the connection."""
     try:
         write(sock, [line])
     finally:
@@ -160,17 +178,20 @@
 
 
 class LineReader:
-    """Reads lines into one buffer and hands them out in place, as views that hold until the next read."""
+    """Reads lines into one buffer and returns them without copying, as views that are valid until the next read."""
 
-    def __init__(self, sock: Transport, size: int = 4096) -> None:
-        self.sock = sock
+    def __init__(self, transport: Transport, size: int = 4096) -> None:
+        self.transport = transport
         self.buffer = bytearray(size)
         self.view = memoryview(self.buffer)
         self.start = self.end = 0
 
     def line(self, timeout: timedelta | None = None, abort_on: socket.socket | None = None) -> memoryview | None:
-        """The next line with its ending; None at the peer's end. TimeoutError when the span is over,
-        InterruptedError when ``beside`` ends first."""
+        """Return the next line with its line ending, or None at the end of the stream.
+
+        Raises TimeoutError when the timeout expires, InterruptedError when the peer of ``abort_on`` disconnects first,
+        and LineTooLongError when the line does not fit into the buffer.
+        """
         until = None if timeout is None else now() + timeout
         searched = self.start
         while True:
@@ -183,42 +204,43 @@
             if self.end == len(self.buffer):
                 if self.start == 0:
                     raise LineTooLongError
-                kept = self.end - self.start
-                self.buffer[:kept] = self.buffer[self.start : self.end]
-                self.start, self.end, searched = 0, kept, kept
+                unread = self.end - self.start
+                self.buffer[:unread] = self.buffer[self.start : self.end]
+                self.start, self.end, searched = 0, unread, unread
             if until is not None:
                 self._wait(until - now(), abort_on)
             try:
-                got = self.sock.recv_into(self.view[self.end :])
-            except BlockingIOError:  # a channel's record that is not whole yet
+                received = self.transport.recv_into(self.view[self.end :])
+            except BlockingIOError:  # a channel's record that is still incomplete
                 continue
-            if got == 0:
+            if received == 0:
                 return None
-            self.end += got
+            self.end += received
 
-    def _wait(self, left: timedelta, abort_on: socket.socket | None) -> None:
-        sides: list[tuple[Transport, int]] = [(self.sock, select.POLLIN)] + (
+    def _wait(self, remaining: timedelta, abort_on: socket.socket | None) -> None:
+        interests: list[tuple[Transport, int]] = [(self.transport, select.POLLIN)] + (
             [(abort_on, select.POLLRDHUP)] if abort_on else []
         )
-        ready = wait(*sides, timeout=left) if left > ZERO_DURATION else None
+        ready = wait(*interests, timeout=remaining) if remaining > ZERO_DURATION else None
         if ready is None:
             raise TimeoutError
         if ready is abort_on:
             raise InterruptedError
 
     def read_buffered(self, into: memoryview) -> int:
-        """Moves what was read beyond the last line into the view, as far as it fits."""
+        """Move buffered bytes beyond the last line into the view, as far as they fit, and return their number."""
         size = min(self.end - self.start, len(into))
         into[:size] = self.view[self.start : self.start + size]
         self.start += size
         return size
 
     def take_buffered(self) -> bytes:
-        """What was read beyond the last line handed out."""
-        got = bytes(self.view[self.start : self.end])
+        """Remove and return all buffered bytes beyond the last line."""
+        buffered = bytes(self.view[self.start : self.end])
         self.start = self.end = 0
-        return got
+        return buffered
 
 
 def decode_line(view: memoryview) -> str:
+    """Return a line as text without its line ending. Bytes that are not ASCII are replaced."""
     return str(view, "ascii", "replace").rstrip("\r\n")
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -1,7 +1,7 @@
-"""The seam between what happens and who records it. On the platform nobody does: ``Tracer`` does nothing.
+"""Interface between the request path and a trace recorder. The default ``Tracer`` records nothing.
 
-``trace/recorder.py`` is the other one. This module imports nothing of it, so that a program that does not trace
-carries none of its libraries. No method blocks, waits, or raises: they are called on the way of a request.
+The recording implementation is ``trace/recorder.py``. This module imports nothing of it, so that a process without
+tracing loads none of its libraries. No method may block, wait or raise: they are called while a request is served.
 """
 
 from __future__ import annotations
@@ -15,53 +15,71 @@
 
 
 class Tracer:
-    """Hears what happens. This one does nothing: tracing is off. Times are spans since the epoch."""
+    """Receives the events of a balancer and ignores them: tracing is off.
 
-    recording = False  # whether decisions are to come with what the module believed
-    make_candidate: Callable[..., Any] = CandidateSnapshot  # what they hold of each host is made by this
+    ``time`` is always the time of the event since the Unix epoch, ``id`` the id of a request and ``front`` the name of
+    a front.
+    """
 
-    def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None: ...
+    recording = False  # whether decisions come with a snapshot of each candidate host
+    make_candidate: Callable[..., Any] = CandidateSnapshot  # builds the snapshot of one candidate host
 
-    def decision(self, at: timedelta, view: DecisionSnapshot) -> None: ...
+    def request(self, time: timedelta, front: str, request: api.Request, bound_to: str | None) -> None:
+        """Record that a request arrived; ``bound_to`` is the host that already holds its connection, if any."""
 
-    def probe_sent(self, at: timedelta, front: str, host: str) -> None: ...
+    def decision(self, time: timedelta, snapshot: DecisionSnapshot) -> None:
+        """Record a decision on a request."""
 
-    def probed(self, at: timedelta, front: str, result: api.ProbeResult) -> None: ...
+    def probe_sent(self, time: timedelta, front: str, host: str) -> None:
+        """Record that a probe was sent."""
+
+    def probed(self, time: timedelta, front: str, result: api.ProbeResult) -> None:
+        """Record the result of a probe."""
 
     def attempt(
-        self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
-    ) -> None: ...
+        self, time: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
+    ) -> None:
+        """Record how an upstream request ended, or that it is up."""
 
     def answer(
         self,
-        at: timedelta,
+        time: timedelta,
         request: api.Request,
         outcome: str,
         attempts: int,
         took: timedelta,
         host: str | None = None,
         wait_us: int | None = None,
-    ) -> None: ...
+    ) -> None:
+        """Record the one answer to a request; ``wait_us`` is the retry time of a refusal."""
 
-    def established(self, at: timedelta, id: str, host: str, resumed: bool) -> None: ...
+    def established(self, time: timedelta, id: str, host: str, resumed: bool) -> None:
+        """Record that a connection is up; ``resumed`` where its host held it before."""
 
-    def note(self, at: timedelta, note: api.Note) -> None: ...
+    def note(self, time: timedelta, note: api.Note) -> None:
+        """Record what the decision module was told of a connection."""
 
-    def moved(self, at: timedelta, id: str, host: str, reason: str) -> None: ...
+    def moved(self, time: timedelta, id: str, host: str, reason: str) -> None:
+        """Record that a connection's client was told to move."""
 
-    def ended(self, at: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None: ...
+    def ended(self, time: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
+        """Record the end of a connection."""
 
-    def listed(self, at: timedelta, front: str, event: api.BackendList) -> None: ...
+    def listed(self, time: timedelta, front: str, event: api.BackendList) -> None:
+        """Record news of the list of hosts."""
 
-    def started(self, at: timedelta, hall: str, fronts: Sequence[str]) -> None: ...
+    def started(self, time: timedelta, hall: str, fronts: Sequence[str]) -> None:
+        """Record the start of the recording process."""
 
-    def stopped(self, at: timedelta, standing: int) -> None: ...
+    def stopped(self, time: timedelta, standing: int) -> None:
+        """Record the stop of the process and the number of connections that are still open."""
 
-    def reloaded(self, at: timedelta, taken: bool, text: str) -> None: ...
+    def reloaded(self, time: timedelta, taken: bool, text: str) -> None:
+        """Record a configuration reload: whether it was applied, and otherwise the error."""
 
 
 class TracerHandle:
-    """Where the parts find the tracer of the moment: a reload may put another in its place while they run."""
+    """Shared reference to the tracer in use; a reload may replace the tracer while requests are served."""
 
     __slots__ = ("current",)
 
