--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -1,4 +1,4 @@
-"""The cluster: the upstream hosts that discovery has named, their addresses and their state."""
+"""The cluster: the upstream hosts that discovery lists, their addresses and their effective state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamHost:
-    """One entry of the cluster. ``born``: its last start, None if long ago."""
+    """One entry of the cluster. ``started_at`` is the host's last start, None where that was long ago."""
 
     id: str
     address: Address
@@ -25,125 +25,150 @@
     weight: float = 1.0
     state: State = State.RUNNING
     started_at: timedelta | None = None
-    tls_name: str = ""  # who it must prove to be; empty: what the configuration's template says
+    tls_name: str = ""  # the name its certificate must prove; empty: by the configuration's template
 
 
 class Cluster:
-    """Nothing is ever sent to an upstream host that is not in here. An opinion, which a check or the host
-    itself gives, is laid over what discovery lists until it is taken back or the host starts anew. A host's own word
-    that it drains ends too where discovery, which had it draining, lists it as in service again; a check's word and a
-    refused certificate outlast that, since nobody says them a second time.
+    """The listed upstream hosts. Nothing is ever sent to a host that is not in here.
 
-    An operator's order that takes a host out is a source of its own: nothing that is listed ends it, not even that the
-    host vanishes and comes again. Called back, a host counts as born then at the earliest, since it is restarted while
-    it is out and the list may tell of that late. The most restrictive source wins."""
+    A host's effective state is the most restrictive of these sources:
+
+    - The state that discovery lists.
+    - The result of a health check, until a later check replaces it or the host restarts.
+    - The host's own announcement that it drains. It ends when the host restarts, when a check finds that the host
+      takes work, or when discovery lists the host as in service after it had listed it as draining.
+    - A refused certificate, until it is accepted again or the host restarts.
+    - An operator's order that suspends the host. Nothing that discovery lists ends it, not even that the host
+      disappears and comes back.
+
+    A check's result and a refused certificate survive a listing as in service, because neither is reported a second
+    time. A host that operators resume counts as started at that moment at the earliest: it is restarted while it is
+    suspended, and discovery may list that restart late.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._listed: dict[str, UpstreamHost] = {}
-        self._opinions: dict[str, tuple[bool, float]] = {}  # takes work, share of the listed weight
-        self._closed: set[str] = set()  # take nothing new, and keep what they hold
-        self._leaving: set[str] = set()  # have said themselves that they drain
-        self._suspended: Collection[str] = ()  # taken out by operators, listed or not
-        self._lean: Mapping[str, float] = {}  # the part of its weight by which a host draws clients
-        self.send_allowed: Callable[[str], bool] | None = None  # asked at every send beside all else; None: nobody is
-        self._back: Mapping[str, timedelta] = {}  # called back by operators, and from when they count as born
+        self._check_results: dict[str, tuple[bool, float]] = {}  # takes work, share of the listed weight
+        self._closed: set[str] = set()  # no new connections, existing ones stay
+        self._draining: set[str] = set()  # hosts that announced themselves that they drain
+        self._suspended: Collection[str] = ()  # by operators, listed or not
+        self._weight_factors: Mapping[str, float] = {}  # factors of the weights; 1 where a host has none
+        self.send_allowed: Callable[[str], bool] | None = None  # a further condition, asked at each send
+        self._resumed: Mapping[str, timedelta] = {}  # hosts that operators resumed: their earliest start time
         self._sending: Counter[str] = Counter()  # requests that are being written to a host
 
     def update(self, mode: ListMode, hosts: Sequence[UpstreamHost]) -> list[UpstreamHost]:
-        """Takes discovery's news; returns them as the decisions are to hear them."""
+        """Apply news from discovery and return the hosts it names with their effective state."""
         with self._lock:
             if mode is not ListMode.CHANGES:
-                kept = {host.id: host for host in hosts}
-                self._opinions = {n: o for n, o in self._opinions.items() if n in kept}
-                self._listed = {n: h for n, h in self._listed.items() if n in kept}
-                self._closed.intersection_update(kept)
-                self._leaving.intersection_update(kept)
+                current = {host.id: host for host in hosts}
+                self._check_results = {n: o for n, o in self._check_results.items() if n in current}
+                self._listed = {n: h for n, h in self._listed.items() if n in current}
+                self._closed.intersection_update(current)
+                self._draining.intersection_update(current)
             for host in hosts:
                 old = self._listed.get(host.id)
-                again = old is not None and old.state is State.DRAINING and host.state is State.RUNNING
-                anew = host.state is State.GONE or (old is not None and old.started_at != host.started_at)
-                if anew:
-                    self._opinions.pop(host.id, None)
+                back_in_service = old is not None and old.state is State.DRAINING and host.state is State.RUNNING
+                restarted = host.state is State.GONE or (old is not None and old.started_at != host.started_at)
+                if restarted:
+                    self._check_results.pop(host.id, None)
                     self._closed.discard(host.id)
-                if anew or again:
-                    self._leaving.discard(host.id)
+                if restarted or back_in_service:
+                    self._draining.discard(host.id)
                 if host.state is State.GONE:
                     self._listed.pop(host.id, None)
                 else:
                     self._listed[host.id] = host
-            return [self._seen(host) for host in hosts]
+            return [self._effective(host) for host in hosts]
 
     def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
-        """Takes an opinion; returns the host where it changes how it is seen."""
+        """Apply a health check's result and return the host if its effective state changes, else None.
+
+        ``share`` is the part of its listed weight that the host is to have; None leaves a value as it was.
+        """
         with self._lock:
             host = self._listed.get(name)
             if host is None:
                 return None
-            before, (works, part) = self._seen(host), self._opinions.get(name, (True, 1.0))
+            before, (works, part) = self._effective(host), self._check_results.get(name, (True, 1.0))
             works = works if takes_work is None else takes_work
             if takes_work:
-                self._leaving.discard(name)
-            self._opinions[name] = (works, part if share is None else share)
-            after = self._seen(host)
+                self._draining.discard(name)
+            self._check_results[name] = (works, part if share is None else share)
+            after = self._effective(host)
             return after if after != before else None
 
     def set_closed(self, name: str, closed: bool) -> UpstreamHost | None:
-        """Nothing new to a host that cannot prove who it is; what stands there stays. The host where this is news."""
-        return self._mark(self._closed, name, closed)
+        """Stop or allow new connections to a host; it is closed while its certificate is refused.
+
+        Existing connections stay. Returns the host if its effective state changes, else None.
+        """
+        return self._set_mark(self._closed, name, closed)
 
     def mark_draining(self, name: str) -> UpstreamHost | None:
-        """The host has said itself that it drains. The host where this is news."""
-        return self._mark(self._leaving, name, True)
+        """Record a host's own announcement that it drains. Returns the host if its effective state changes."""
+        return self._set_mark(self._draining, name, True)
 
-    def _mark(self, marked: set[str], name: str, on: bool) -> UpstreamHost | None:
+    def _set_mark(self, marked: set[str], name: str, on: bool) -> UpstreamHost | None:
         with self._lock:
             host = self._listed.get(name)
             if host is None:
                 return None
-            before = self._seen(host)
+            before = self._effective(host)
             (marked.add if on else marked.discard)(name)
-            after = self._seen(host)
+            after = self._effective(host)
             return after if after != before else None
 
-    def _seen(self, host: UpstreamHost) -> UpstreamHost:
-        takes_work, share = self._opinions.get(host.id, (True, 1.0))
+    def _effective(self, host: UpstreamHost) -> UpstreamHost:
+        """Return the host with all sources applied. Called with the lock held."""
+        takes_work, share = self._check_results.get(host.id, (True, 1.0))
         state = host.state
-        if state is State.RUNNING and (not takes_work or host.id in self._leaving):
+        if state is State.RUNNING and (not takes_work or host.id in self._draining):
             state = State.DRAINING
         if state is State.RUNNING and (host.id in self._closed or host.id in self._suspended):
             state = State.CLOSED
-        started_at, back = host.started_at, self._back.get(host.id)
-        if back is not None and (started_at is None or started_at < back):
-            started_at = back
+        started_at, resumed_at = host.started_at, self._resumed.get(host.id)
+        if resumed_at is not None and (started_at is None or started_at < resumed_at):
+            started_at = resumed_at
         return replace(
-            host, state=state, weight=host.weight * share * self._lean.get(host.id, 1.0), started_at=started_at
+            host,
+            state=state,
+            weight=host.weight * share * self._weight_factors.get(host.id, 1.0),
+            started_at=started_at,
         )
 
     def apply_orders(
-        self, suspended: Collection[str], back: Mapping[str, timedelta], lean: Mapping[str, float] | None = None
+        self,
+        suspended: Collection[str],
+        resumed: Mapping[str, timedelta],
+        weight_factors: Mapping[str, float] | None = None,
     ) -> list[str]:
-        """Operators' orders, all that hold. Returns the listed hosts that are seen in another way since."""
+        """Replace all operators' orders and return the listed hosts whose effective state changes.
+
+        ``resumed`` holds the time from which each resumed host counts as started.
+        """
         with self._lock:
-            before = {name: self._seen(host) for name, host in self._listed.items()}
-            self._suspended, self._back, self._lean = suspended, back, lean or {}
-            return [name for name, host in self._listed.items() if self._seen(host) != before[name]]
+            before = {name: self._effective(host) for name, host in self._listed.items()}
+            self._suspended, self._resumed, self._weight_factors = suspended, resumed, weight_factors or {}
+            return [name for name, host in self._listed.items() if self._effective(host) != before[name]]
 
     def started_at(self, name: str) -> timedelta | None:
-        """As it is listed, whatever operators say."""
+        """Return a host's last start as discovery lists it, whatever operators ordered."""
         with self._lock:
             host = self._listed.get(name)
             return None if host is None else host.started_at
 
     def knows(self, name: str) -> bool:
+        """Return whether a host is listed or suspended."""
         with self._lock:
             return name in self._listed or name in self._suspended
 
     @contextmanager
     def guard_send(self, host: UpstreamHost) -> Iterator[bool]:
-        """Around the first bytes of a request: whether they may still go. While it lasts the host is not quiet."""
+        """Hold a send in progress while the first bytes of a request are written; yield whether it is allowed."""
         with self._lock:
-            allowed = self._takes_work(host)
+            allowed = self._accepts_requests(host)
             self._sending[host.id] += allowed
         try:
             yield allowed
@@ -154,36 +179,37 @@
                     del self._sending[host.id]
 
     def has_no_sends_in_progress(self, name: str) -> bool:
-        """No request is being written to this host."""
+        """Return whether no request is being written to this host."""
         with self._lock:
             return name not in self._sending
 
     def find(self, name: str) -> UpstreamHost | None:
+        """Return a listed host with its effective state, or None."""
         with self._lock:
             host = self._listed.get(name)
-            return None if host is None else self._seen(host)
+            return None if host is None else self._effective(host)
 
     def hosts(self) -> list[UpstreamHost]:
+        """Return all listed hosts with their effective state."""
         with self._lock:
-            return [self._seen(host) for host in self._listed.values()]
+            return [self._effective(host) for host in self._listed.values()]
 
     def listed_hosts(self) -> list[UpstreamHost]:
-        """As discovery tells them, with the checks' opinions and operators' call backs, whatever is taken out or leaned
-        away from."""
+        """Return all hosts as discovery lists them; only the start times include operators' resume orders."""
         with self._lock:
-            return [replace(host, started_at=self._seen(host).started_at) for host in self._listed.values()]
+            return [replace(host, started_at=self._effective(host).started_at) for host in self._listed.values()]
 
     def accepts_requests(self, host: UpstreamHost) -> bool:
-        """Still the same start of the same host, and neither draining nor gone."""
+        """Return whether this is still the same start of the same host, in service and allowed to get requests."""
         with self._lock:
-            return self._takes_work(host)
+            return self._accepts_requests(host)
 
-    def _takes_work(self, host: UpstreamHost) -> bool:
-        held = self._listed.get(host.id)
-        seen = None if held is None else self._seen(held)
+    def _accepts_requests(self, host: UpstreamHost) -> bool:
+        listed = self._listed.get(host.id)
+        effective = None if listed is None else self._effective(listed)
         return (
-            seen is not None
-            and seen.state is State.RUNNING
-            and seen.started_at == host.started_at
+            effective is not None
+            and effective.state is State.RUNNING
+            and effective.started_at == host.started_at
             and (self.send_allowed is None or self.send_allowed(host.id))
         )
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -1,6 +1,7 @@
-"""The decision module behind one lock, its timers, and its actions handed to the thread they concern.
+"""The decision module behind one lock, its timers, and its actions handed to the threads they concern.
 
-This is the one seam between spans and the module's microseconds. No socket is touched under the lock.
+This is the only place that converts between durations and the module's microseconds. No socket is used while the lock
+is held.
 """
 
 from __future__ import annotations
@@ -22,18 +23,21 @@
 from vanegw.recording import DecisionSnapshot, RecordingBalancer
 
 Choice = api.Attempt | api.Refuse | api.Fail
-LAST_WAIT = timedelta(milliseconds=100)  # past its deadline a request waits hardly longer for the module
+MIN_CHOICE_TIMEOUT = timedelta(milliseconds=100)  # how long a request past its deadline still waits for the module
 
 
 def to_microseconds(duration: timedelta) -> int:
+    """Return the whole microseconds of a duration."""
     return duration // MICROSECOND
 
 
-def from_microseconds(micros_: int) -> timedelta:
-    return timedelta(microseconds=micros_)
+def from_microseconds(value_us: int) -> timedelta:
+    """Return a duration of so many microseconds."""
+    return timedelta(microseconds=value_us)
 
 
 def to_backend(host: UpstreamHost) -> api.Backend:
+    """Return an upstream host in the decision module's terms."""
     return api.Backend(
         host.id,
         host.zone,
@@ -46,7 +50,7 @@
 
 
 def move_reason(event: api.Event) -> str:
-    """Why the module moves connections, told by what it has just heard."""
+    """Return the trace's word for why the module moves connections, by the event that it has just handled."""
     if isinstance(event, api.TimerFired):
         return "drain"
     if isinstance(event, api.Note) and event.kind in (api.NoteKind.SILENCE, api.NoteKind.HUSH):
@@ -55,23 +59,29 @@
 
 
 class ActiveRequest:
-    """One request's place in the decisions: the module's choices for it come in here, in order."""
+    """A request between its registration and its end. The module's choices for it are queued here in order."""
 
     def __init__(self, name: str, deadline: timedelta) -> None:
         self.id = name
         self.deadline = deadline
         self.choices: SimpleQueue[Choice] = SimpleQueue()
-        self.host = ""  # where its connection stands
+        self.host = ""  # the host that its connection is open to
 
     def next_choice(self) -> Choice:
-        """What the module chooses next. Were it silent, the answer would still be owed: failed."""
+        """Wait for the module's next choice; ``Fail`` if none comes in time, because the client is owed an answer."""
         try:
-            return self.choices.get(timeout=max(self.deadline - now(), LAST_WAIT).total_seconds())
+            return self.choices.get(timeout=max(self.deadline - now(), MIN_CHOICE_TIMEOUT).total_seconds())
         except Empty:
             return api.Fail(self.id)
 
 
 class Decisions:
+    """Thread-safe access to one front's decision module.
+
+    ``on_probe``, ``on_move`` and ``on_subscribe`` carry out the actions that concern no request; the front sets them
+    before ``start``. They are called without the lock.
+    """
+
     def __init__(
         self,
         settings: api.Settings,
@@ -88,86 +98,97 @@
         self._cluster = cluster
         self._counters = counters
         self._lock = threading.Lock()
-        self._due = threading.Condition(threading.Lock())
-        self._timers: list[tuple[timedelta, int, str]] = []
-        self._set = 0
-        self._visits: dict[str, ActiveRequest] = {}
-        # Set by the start: what to do, outside the lock, with the actions that concern no request.
+        self._timers_changed = threading.Condition(threading.Lock())
+        self._timers: list[tuple[timedelta, int, str]] = []  # a heap: due time, sequence number, token
+        self._timers_set = 0
+        self._active_requests: dict[str, ActiveRequest] = {}
         self.on_probe: Callable[[str], None] = lambda host: None
         self.on_move: Callable[[str], None] = lambda connection: None
         self.on_subscribe: Callable[[], None] = lambda: None
 
     def start(self) -> None:
+        """Start the thread that fires timers."""
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
     def reconfigure(self, settings: api.Settings) -> None:
+        """Replace the module's settings."""
         with self._lock:
             self._balancer.reconfigure(settings)
 
     def export_state(self) -> list[dict[str, Any]]:
-        """What the module knows, for the process that takes this one's place."""
+        """Return what the module has learned, in parts, for the process that replaces this one."""
         with self._lock:
             return handover.export_state(self._balancer)
 
     def import_state(self, part: dict[str, Any]) -> None:
-        """A part of what the process before this one knew. It may be of another version, and what is not understood is
-        served on without: it must not end the thread that brought it."""
+        """Take over a part of what the previous process had learned.
+
+        The part may come from another version of the program. A part that is not understood is counted, logged and
+        ignored: it must not end the thread that received it.
+        """
         try:
             with self._lock:
                 handover.import_state(self._balancer, part)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             self._counters.add("recall_refused")
-            self._log.warning("recall", text=f"served on without: {error!r}")
+            self._log.warning("recall", text=f"ignored: {error!r}")
 
     def register(self, name: str, deadline: timedelta) -> ActiveRequest | None:
-        """A request's place under its id, until it is released; None while another holds that id. Whoever
-        sends the id of another's open request must not get at what is answered, moved or ended under it."""
-        visit = ActiveRequest(name, deadline)
+        """Reserve a request id until it is unregistered; None while another request holds it.
+
+        A client that sends the id of another client's open request must not be able to answer, move or end that one.
+        """
+        active = ActiveRequest(name, deadline)
         with self._lock:
-            return visit if self._visits.setdefault(name, visit) is visit else None
+            return active if self._active_requests.setdefault(name, active) is active else None
 
-    def unregister(self, visit: ActiveRequest) -> None:
+    def unregister(self, active: ActiveRequest) -> None:
+        """Release the id of a request that has ended."""
         with self._lock:
-            del self._visits[visit.id]
+            del self._active_requests[active.id]
 
     def update_list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
-        """News of the cluster. The addresses come first: the module may choose a new host at once."""
-        seen = [] if mode is api.ListMode.UNAVAILABLE else self._cluster.update(mode, hosts)
+        """Apply news of the list of hosts.
+
+        The cluster is updated before the module, which may choose a new host at once.
+        """
+        effective = [] if mode is api.ListMode.UNAVAILABLE else self._cluster.update(mode, hosts)
         if mode is api.ListMode.UNAVAILABLE:
             self._counters.add("list_unavailable")
-        self.handle_event(api.BackendList(mode, tuple(to_backend(h) for h in seen)))
+        self.handle_event(api.BackendList(mode, tuple(to_backend(h) for h in effective)))
 
     def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
-        """What a check says of a host. True where it is news."""
-        return self._changed(self._cluster.apply_check(name, takes_work, share))
+        """Apply a health check's result (see ``Cluster.apply_check``). Returns whether it changes the host."""
+        return self._report_change(self._cluster.apply_check(name, takes_work, share))
 
     def mark_draining(self, name: str) -> bool:
-        """The host has said itself that it drains. True where it is news."""
-        return self._changed(self._cluster.mark_draining(name))
+        """Record a host's own announcement that it drains. Returns whether it changes the host."""
+        return self._report_change(self._cluster.mark_draining(name))
 
     def set_closed(self, name: str, closed: bool) -> None:
-        """Nothing new to this host from now on, or again; what stands there stays."""
-        self._changed(self._cluster.set_closed(name, closed))
+        """Stop or allow new connections to a host; existing ones stay."""
+        self._report_change(self._cluster.set_closed(name, closed))
 
     def load_figures(self) -> dict[str, tuple[float | None, bool]]:
-        """For each host its load as last reported, and whether it is masked for its failures."""
+        """Return each host's load as last reported, and whether it is masked because of failures."""
         at = to_microseconds(now())
         with self._lock:
             return {name: (known.load, known.masked_until_us > at) for name, known in self._balancer.backends.items()}
 
     def refresh_hosts(self, names: Sequence[str]) -> None:
-        """Tells the module how these hosts are seen now."""
-        seen = [host for name in names if (host := self._cluster.find(name)) is not None]
-        if seen:
-            self.handle_event(api.BackendList(api.ListMode.CHANGES, tuple(to_backend(h) for h in seen)))
+        """Report the effective state of these hosts to the module."""
+        effective = [host for name in names if (host := self._cluster.find(name)) is not None]
+        if effective:
+            self.handle_event(api.BackendList(api.ListMode.CHANGES, tuple(to_backend(h) for h in effective)))
 
-    def _changed(self, host: UpstreamHost | None) -> bool:
+    def _report_change(self, host: UpstreamHost | None) -> bool:
         if host is not None:
             self.handle_event(api.BackendList(api.ListMode.CHANGES, (to_backend(host),)))
         return host is not None
 
     def handle_event(self, event: api.Event) -> None:
-        later: list[api.Action] = []
+        """Pass an event to the module and carry out its actions."""
+        other_actions: list[api.Action] = []
         tracer = self._tracing.current
         with self._lock:
             at = now()
@@ -175,24 +196,24 @@
             try:
                 actions = self._balancer.handle(to_microseconds(at), event)
             except Exception:
-                # A fault in a decision must not end the thread that brought the event: it may hold a client.
+                # A fault in a decision must not end the thread that brought the event: it may serve a client.
                 self._counters.add("decision_faults")
                 self._log.exception("decision fault", told=type(event).__name__)
                 return
-            views: Sequence[DecisionSnapshot] = self._balancer.decisions
-            counted = self._balancer.counter_names
+            snapshots: Sequence[DecisionSnapshot] = self._balancer.decisions
+            counter_names = self._balancer.counter_names
             for action in actions:
                 if isinstance(action, (api.Attempt, api.Refuse, api.Fail)):
-                    visit = self._visits.get(action.id)
-                    if visit is not None:
-                        visit.choices.put(action)
+                    active = self._active_requests.get(action.id)
+                    if active is not None:
+                        active.choices.put(action)
                 else:
-                    later.append(action)
-        for name in counted:
+                    other_actions.append(action)
+        for name in counter_names:
             self._counters.add(name)
         if tracer.recording:
-            self._trace(tracer, at, event, views, later)
-        for action in later:
+            self._trace(tracer, at, event, snapshots, other_actions)
+        for action in other_actions:
             self._carry_out(action)
 
     def _trace(
@@ -200,31 +221,33 @@
         tracer: Tracer,
         at: timedelta,
         event: api.Event,
-        views: Sequence[DecisionSnapshot],
+        snapshots: Sequence[DecisionSnapshot],
         actions: Sequence[api.Action],
     ) -> None:
-        """Tells the tracer what the module heard and what it made of it, outside the lock."""
+        """Record an event and the decisions that followed from it. Called without the lock."""
         if isinstance(event, api.ProbeResult):
             tracer.probed(at, self._name, event)
         elif isinstance(event, api.Note):
             tracer.note(at, event)
         elif isinstance(event, api.BackendList):
             tracer.listed(at, self._name, event)
-        for view in views:
-            tracer.decision(at, view)
+        for snapshot in snapshots:
+            tracer.decision(at, snapshot)
         for action in actions:
             if isinstance(action, api.Probe):
                 tracer.probe_sent(at, self._name, action.backend)
             elif isinstance(action, api.Move):
-                visit = self._visits.get(action.id)
-                tracer.moved(at, action.id, visit.host if visit else "", move_reason(event))
+                active = self._active_requests.get(action.id)
+                tracer.moved(at, action.id, active.host if active else "", move_reason(event))
 
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            with self._due:
-                self._set += 1
-                heapq.heappush(self._timers, (now() + from_microseconds(action.after_us), self._set, action.token))
-                self._due.notify()
+            with self._timers_changed:
+                self._timers_set += 1
+                heapq.heappush(
+                    self._timers, (now() + from_microseconds(action.after_us), self._timers_set, action.token)
+                )
+                self._timers_changed.notify()
         elif isinstance(action, api.Probe):
             self.on_probe(action.backend)
         elif isinstance(action, api.Move):
@@ -236,9 +259,9 @@
 
     def _run_timers(self) -> None:
         while True:
-            with self._due:
+            with self._timers_changed:
                 while not self._timers or self._timers[0][0] > now():
-                    left = self._timers[0][0] - now() if self._timers else None
-                    self._due.wait(None if left is None else max(0.0, left.total_seconds()))
+                    remaining = self._timers[0][0] - now() if self._timers else None
+                    self._timers_changed.wait(None if remaining is None else max(0.0, remaining.total_seconds()))
                 token = heapq.heappop(self._timers)[2]
             self.handle_event(api.TimerFired(token))
--- a/bramblestile/memory/pending.py
+++ b/bramblestile/memory/pending.py
@@ -1,7 +1,7 @@
-"""Downstreams that have connected and are no request yet: how many there may be, and who has to leave.
+"""Downstream connections that have not sent a whole request yet: their number is limited, the oldest is evicted.
 
-Guards against clients that connect by the hundreds and say nothing, or never come to an end: each holds a
-thread and a descriptor that the usual clients need.
+Each such connection holds a thread and a descriptor. The limit protects other clients from those that open connections
+by the hundreds and send nothing, or never finish their first line.
 """
 
 from __future__ import annotations
@@ -13,52 +13,56 @@
 from bramblestile import sockets
 from bramblestile.clock import now
 
-SPEAK = timedelta(milliseconds=50)  # nobody is sent away sooner: whoever has a request says it at once
+MIN_GRACE = timedelta(milliseconds=50)  # not evicted sooner: a client that has a request sends it at once
 
 
 class PendingDownstreams:
+    """The connections without a whole request, oldest first; at most ``limit`` of them."""
+
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._changed = threading.Condition()
-        self._held: dict[socket.socket, timedelta] = {}  # since when, the oldest first
-        self._sent_away: set[socket.socket] = set()
+        self._accepted_at: dict[socket.socket, timedelta] = {}  # oldest first
+        self._evicted: set[socket.socket] = set()
 
     def wait_for_room(self) -> None:
-        """For the thread that accepts: returns once one more may come. The oldest leave for it."""
+        """Block the accepting thread until there is room for one more; the oldest are evicted to that end."""
         with self._changed:
-            while len(self._held) >= self.limit:
-                # Reads end at once, so its thread says goodbye and lets go; it counts until it has.
-                old = next((s for s in self._held if s not in self._sent_away), None)
-                left = SPEAK if old is None else self._held[old] + SPEAK - now()
-                if old is not None and left <= timedelta(0):
-                    self._send_away(old)
+            while len(self._accepted_at) >= self.limit:
+                # Eviction ends the reads, so that the connection's thread replies and closes. It counts until then.
+                oldest = next((s for s in self._accepted_at if s not in self._evicted), None)
+                remaining = MIN_GRACE if oldest is None else self._accepted_at[oldest] + MIN_GRACE - now()
+                if oldest is not None and remaining <= timedelta(0):
+                    self._evict(oldest)
                     continue
-                self._changed.wait(left.total_seconds())
+                self._changed.wait(remaining.total_seconds())
 
     def evict_oldest(self) -> None:
-        """Descriptors have run out: whoever has waited longest makes room, however short that is."""
+        """Evict the oldest connection whatever its age: the process has run out of descriptors."""
         with self._changed:
-            old = next((s for s in self._held if s not in self._sent_away), None)
-            if old is not None:
-                self._send_away(old)
+            oldest = next((s for s in self._accepted_at if s not in self._evicted), None)
+            if oldest is not None:
+                self._evict(oldest)
 
-    def _send_away(self, sock: socket.socket) -> None:
-        self._sent_away.add(sock)
+    def _evict(self, sock: socket.socket) -> None:
+        self._evicted.add(sock)
         sockets.shut_down(sock, socket.SHUT_RD)
 
     def track(self, sock: socket.socket) -> None:
+        """Add a connection that has just been accepted."""
         with self._changed:
-            self._held[sock] = now()
+            self._accepted_at[sock] = now()
 
     def remove(self, sock: socket.socket) -> bool:
-        """It has become a request, or is over. False where it has been sent away."""
+        """Remove a connection that has sent a request or has ended. Returns False where it was evicted."""
         with self._changed:
-            self._held.pop(sock, None)
+            self._accepted_at.pop(sock, None)
             self._changed.notify()
-            away = sock in self._sent_away
-            self._sent_away.discard(sock)
-            return not away
+            evicted = sock in self._evicted
+            self._evicted.discard(sock)
+            return not evicted
 
     def was_evicted(self, sock: socket.socket) -> bool:
+        """Return whether a connection was evicted and is not removed yet."""
         with self._changed:
-            return sock in self._sent_away
+            return sock in self._evicted
