--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -1,4 +1,4 @@
-"""The life of one request, from its first line to its one answer or to the end of its connection."""
+"""The life of one request, from its first line to its single answer or to the end of its connection."""
 
 from __future__ import annotations
 
@@ -22,17 +22,23 @@
 
 
 class ConnectionSuccessor(Protocol):
-    """Another process of this balancer, which may take over what stands."""
+    """Another process of this balancer, which may take over established connections."""
 
     @property
-    def pause_signal(self) -> PauseSignal: ...
+    def pause_signal(self) -> PauseSignal:
+        """The signal that pauses connections for the handover."""
 
-    def hand_over(self, standing: ProxiedConnection, request: api.Request) -> bool:
-        """Whether it carries the frozen connection on from now on."""
+    def hand_over(self, connection: ProxiedConnection, request: api.Request) -> bool:
+        """Send a paused connection to the other process and return whether it goes on with it."""
 
 
 class ServingContext:
-    """What every request's life needs, made once at the start."""
+    """What all requests of one front share.
+
+    ``connect_timeout`` limits each TCP connect to an upstream host, ``on_host_draining`` is called when an upstream
+    host announces that it drains, ``dial`` connects to a host, and ``name`` is the front's name. ``successor`` is the
+    process that takes established connections over when this one stops, if there is one.
+    """
 
     def __init__(
         self,
@@ -47,87 +53,88 @@
         tracing: TracerHandle | None = None,
         name: str = "",
     ) -> None:
-        self.successor: ConnectionSuccessor | None = (
-            None  # who goes on with what stands when this process ends; None: nobody
-        )
+        self.successor: ConnectionSuccessor | None = None
         self.decisions = decisions
         self.cluster = cluster
         self.connections = connections
         self.counters = counters
         self.observer = observer
         self.connect_timeout = connect_timeout
-        self.on_host_draining = on_host_draining  # an upstream host has said itself that it drains
+        self.on_host_draining = on_host_draining
         self.dial = dial
         self.tracing = tracing or TracerHandle()
         self.name = name
         self.log = Log(front=name)
 
 
-class _Told:
-    """One request's news: each is counted, traced and logged here, so that the three can never differ."""
+class _RequestReporter:
+    """Counts, traces and logs the events of one request, in one place so that the three always agree."""
 
-    def __init__(self, context: ServingContext, request: api.Request, asked: ClientRequest, arrived: timedelta) -> None:
+    def __init__(
+        self, context: ServingContext, request: api.Request, client_request: ClientRequest, arrived: timedelta
+    ) -> None:
         self.context = context
         self.request = request
-        self.log = context.log.bind(id=asked.id)
+        self.log = context.log.bind(id=client_request.id)
         self.arrived = arrived
-        context.tracing.current.request(self.arrived, context.name, request, asked.bound_to)
-        self.log.debug("request", cls=asked.cls, tenant=asked.tenant)
+        context.tracing.current.request(self.arrived, context.name, request, client_request.bound_to)
+        self.log.debug("request", cls=client_request.cls, tenant=client_request.tenant)
 
     def answer(
         self, at: timedelta, outcome: str, attempts: int, host: str | None = None, wait_us: int | None = None
     ) -> None:
-        """The one answer; ``left`` is a downstream that waits for none."""
+        """Report the single answer; the outcome "left" is a downstream that disconnected before it."""
         self.context.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
         self.context.tracing.current.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
         self.log.debug("answer", outcome=outcome, attempts=attempts, host=host)
 
     def attempt(self, at: timedelta, number: int, host: str, status: str, took_us: int, detail: str = "") -> None:
+        """Report how an upstream request ended, or that it is up."""
         self.context.tracing.current.attempt(at, self.request.id, number, host, status, took_us, detail)
         self.log.debug("attempt", number=number, host=host, status=status, took_us=took_us, detail=detail)
 
 
-def serve_request(context: ServingContext, downstream: Downstream, asked: ClientRequest) -> None:
-    """Top to bottom: admitted, sent as the module chooses, answered once; then carried until it ends."""
+def serve_request(context: ServingContext, downstream: Downstream, client_request: ClientRequest) -> None:
+    """Serve a request to its end: send it as the decision module chooses, answer once, then forward until it ends."""
     context.counters.add("requests")
     arrived = now()
     request = api.Request(
-        asked.id,
-        asked.cls,
-        to_microseconds(max(asked.timeout, ZERO_DURATION)),
-        asked.tenant,
-        asked.key,
-        asked.group,
-        asked.load_hint,
-        asked.is_retry,
-        asked.is_return,
+        client_request.id,
+        client_request.cls,
+        to_microseconds(max(client_request.timeout, ZERO_DURATION)),
+        client_request.tenant,
+        client_request.key,
+        client_request.group,
+        client_request.load_hint,
+        client_request.is_retry,
+        client_request.is_return,
     )
-    visit = context.decisions.register(asked.id, arrived + asked.timeout)
-    if visit is None:
-        # Not told as a request: its id is another's, and its story would be mixed up with that one's.
+    active = context.decisions.register(client_request.id, arrived + client_request.timeout)
+    if active is None:
+        # Not reported as a request: its id belongs to another one, and a trace would mix the two up.
         context.counters.add("ids_in_use")
-        context.log.warning_rate_limited("id in use", id=asked.id)
+        context.log.warning_rate_limited("id in use", id=client_request.id)
         downstream.fail()
         return
-    told = _Told(context, request, asked, arrived)
+    reporter = _RequestReporter(context, request, client_request, arrived)
     try:
-        if asked.bound_to is not None:
-            _resume(context, downstream, asked, request, visit, told)
+        if client_request.bound_to is not None:
+            _resume(context, downstream, client_request, request, active, reporter)
             return
         context.decisions.handle_event(request)
         number = 0
         while True:
-            choice = visit.next_choice()
+            choice = active.next_choice()
             if downstream.has_disconnected():
-                told.answer(now(), "left", number)
-                context.decisions.handle_event(api.ClientGone(asked.id))
+                reporter.answer(now(), "left", number)
+                context.decisions.handle_event(api.ClientGone(client_request.id))
                 return
             if isinstance(choice, api.Refuse):
-                told.answer(now(), "refused", number, wait_us=choice.retry_after_us)
+                reporter.answer(now(), "refused", number, wait_us=choice.retry_after_us)
                 downstream.refuse(from_microseconds(choice.retry_after_us))
                 return
             if isinstance(choice, api.Fail):
-                told.answer(now(), "failed", number)
+                reporter.answer(now(), "failed", number)
                 downstream.fail()
                 return
             sent = now()
@@ -136,34 +143,44 @@
             took = to_microseconds(at - sent)
             if isinstance(answer, NotEstablished):
                 context.counters.add(f"upstream_{answer.status.name.lower()}")
-                told.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
+                reporter.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
                 if answer.host_drains:
                     context.on_host_draining(choice.backend)
                 if answer.downstream_left:
-                    told.answer(at, "left", number + 1)
-                    context.decisions.handle_event(api.ClientGone(asked.id))
+                    reporter.answer(at, "left", number + 1)
+                    context.decisions.handle_event(api.ClientGone(client_request.id))
                 context.decisions.handle_event(
-                    api.Outcome(asked.id, number, choice.backend, answer.status, took, finished=answer.downstream_left)
+                    api.Outcome(
+                        client_request.id,
+                        number,
+                        choice.backend,
+                        answer.status,
+                        took,
+                        finished=answer.downstream_left,
+                    )
                 )
                 if answer.downstream_left:
                     return
                 number += 1
                 continue
-            told.attempt(at, number, choice.backend, "up", took)
-            _stand(context, answer.connection, choice.backend, visit, told, at, number + 1)
-            context.decisions.handle_event(api.Opened(asked.id, number, choice.backend, took))
-            status = _carry(context, answer.connection, at, request)
+            reporter.attempt(at, number, choice.backend, "up", took)
+            _establish(context, answer.connection, choice.backend, active, reporter, at, number + 1)
+            context.decisions.handle_event(api.Opened(client_request.id, number, choice.backend, took))
+            status = _forward(context, answer.connection, at, request)
             context.decisions.handle_event(
-                api.Outcome(asked.id, number, choice.backend, status, to_microseconds(now() - sent), finished=True)
+                api.Outcome(
+                    client_request.id, number, choice.backend, status, to_microseconds(now() - sent), finished=True
+                )
             )
             return
     finally:
-        context.decisions.unregister(visit)
+        context.decisions.unregister(active)
 
 
 def _send(context: ServingContext, downstream: Downstream, choice: api.Attempt) -> UpstreamAnswer:
+    """Make the upstream request that the module chose."""
     host = context.cluster.find(choice.backend)
-    # The list may have changed since the module chose; nothing reaches a host that is not in it.
+    # The list may have changed since the module chose; nothing is sent to a host that is not in it.
     if host is None or not context.cluster.accepts_requests(host):
         return NotEstablished(Status.NO_ROUTE)
     context.counters.add("upstream_requests")
@@ -175,100 +192,108 @@
     )
 
 
-def _stand(
+def _establish(
     context: ServingContext,
-    standing: ProxiedConnection,
+    connection: ProxiedConnection,
     host: str,
-    visit: ActiveRequest,
-    told: _Told,
+    active: ActiveRequest,
+    reporter: _RequestReporter,
     at: timedelta,
     attempts: int,
     resumed: bool = False,
 ) -> None:
-    """From here on it can be moved: whoever moves it finds its host."""
-    told.answer(at, "served", attempts, host)
-    _hold(context, standing, host, visit)
-    context.tracing.current.established(at, standing.id, host, resumed)
+    """Report a connection as established and register it, so that it can be moved."""
+    reporter.answer(at, "served", attempts, host)
+    _register(context, connection, host, active)
+    context.tracing.current.established(at, connection.id, host, resumed)
 
 
-def _hold(context: ServingContext, standing: ProxiedConnection, host: str, visit: ActiveRequest) -> None:
-    standing.host = visit.host = host
-    if context.successor is not None and isinstance(standing.upstream, socket.socket):
-        standing.pause_signal = context.successor.pause_signal
-    context.connections.add(standing)
+def _register(context: ServingContext, connection: ProxiedConnection, host: str, active: ActiveRequest) -> None:
+    connection.host = active.host = host
+    if context.successor is not None and isinstance(connection.upstream, socket.socket):
+        connection.pause_signal = context.successor.pause_signal
+    context.connections.add(connection)
 
 
-def _carry(context: ServingContext, standing: ProxiedConnection, began: timedelta, request: api.Request) -> Status:
-    """From its stand, at ``began``, to its end here: that of the connection, or another process goes on with it."""
+def _forward(context: ServingContext, connection: ProxiedConnection, began: timedelta, request: api.Request) -> Status:
+    """Forward a connection, established at ``began``, until it ends or another process takes it over."""
     try:
-        while (status := standing.forward(context.observer)) is None:
-            if context.successor is not None and context.successor.hand_over(standing, request):
-                standing.release()
+        while (status := connection.forward(context.observer)) is None:
+            if context.successor is not None and context.successor.hand_over(connection, request):
+                connection.release()
                 break
-            standing.resume()
+            connection.resume()
     finally:
-        context.connections.remove(standing)
+        context.connections.remove(connection)
     ended = "handed_on" if status is None else status.name.lower()
-    context.counters.add("moved" if standing.moved else "handed_on" if status is None else f"ended_{ended}")
+    context.counters.add("moved" if connection.moved else "handed_on" if status is None else f"ended_{ended}")
     at = now()
-    context.tracing.current.ended(at, standing.id, standing.host, ended, at - began, standing.moved)
+    context.tracing.current.ended(at, connection.id, connection.host, ended, at - began, connection.moved)
     return status or Status.CANCELLED
 
 
 def adopt_connection(
     context: ServingContext,
-    standing: ProxiedConnection,
+    connection: ProxiedConnection,
     request: api.Request,
-    run: Callable[[Callable[[], None]], None],
+    start_thread: Callable[[Callable[[], None]], None],
 ) -> bool:
-    """Goes on with a connection that another process has carried, in a thread that ``run`` starts. False: not here."""
-    visit = context.decisions.register(request.id, now())
-    if visit is None:
+    """Take over a connection from another process, in a thread that ``start_thread`` starts.
+
+    Returns False where the request's id is in use here or no thread can be started.
+    """
+    active = context.decisions.register(request.id, now())
+    if active is None:
         return False
     at = now()
 
-    def carry() -> None:
+    def forward() -> None:
         try:
             context.counters.add("adopted")
-            context.tracing.current.established(at, standing.id, standing.host, True)
-            _inherit(context, standing, request, at)
+            context.tracing.current.established(at, connection.id, connection.host, True)
+            _forward_inherited(context, connection, request, at)
         finally:
-            context.decisions.unregister(visit)
+            context.decisions.unregister(active)
 
-    _hold(context, standing, standing.host, visit)
+    _register(context, connection, connection.host, active)
     try:
-        run(carry)
-    except RuntimeError:  # no thread to be had
-        context.connections.remove(standing)
-        context.decisions.unregister(visit)
+        start_thread(forward)
+    except RuntimeError:  # no thread can be started
+        context.connections.remove(connection)
+        context.decisions.unregister(active)
         return False
     return True
 
 
-def _inherit(context: ServingContext, standing: ProxiedConnection, request: api.Request, at: timedelta) -> None:
-    """From its stand to its end: a connection that the module has not placed."""
-    context.decisions.handle_event(api.Inherited(request, standing.host))
-    status = _carry(context, standing, at, request)
-    context.decisions.handle_event(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
+def _forward_inherited(
+    context: ServingContext, connection: ProxiedConnection, request: api.Request, at: timedelta
+) -> None:
+    """Forward to its end a connection that the decision module has not placed."""
+    context.decisions.handle_event(api.Inherited(request, connection.host))
+    status = _forward(context, connection, at, request)
+    context.decisions.handle_event(api.Outcome(request.id, 0, connection.host, status, 0, finished=True))
 
 
 def _resume(
     context: ServingContext,
     downstream: Downstream,
-    asked: ClientRequest,
+    client_request: ClientRequest,
     request: api.Request,
-    visit: ActiveRequest,
-    told: _Told,
+    active: ActiveRequest,
+    reporter: _RequestReporter,
 ) -> None:
-    """A connection that its upstream host already holds: it goes there as it is, with no choice to make."""
-    name = asked.bound_to or ""
+    """Serve a request whose connection an upstream host already holds: it goes to that host, without a decision."""
+    name = client_request.bound_to or ""
     sent = now()
     host = context.cluster.find(name)
     answer: UpstreamAnswer = (
         NotEstablished(Status.NO_ROUTE)
         if host is None
         else downstream.upstream_request(
-            partial(context.dial, host), sent + asked.timeout, asked.timeout, partial(nullcontext, True)
+            partial(context.dial, host),
+            sent + client_request.timeout,
+            client_request.timeout,
+            partial(nullcontext, True),
         )
     )
     at = now()
@@ -277,13 +302,13 @@
     if isinstance(answer, NotEstablished):
         status = answer.status.name.lower()
         context.counters.add(f"resume_{status}")
-        told.attempt(at, 0, name, status, took, answer.detail)
+        reporter.attempt(at, 0, name, status, took, answer.detail)
         if answer.downstream_left:
-            told.answer(at, "left", 1)
+            reporter.answer(at, "left", 1)
         else:
-            told.answer(at, "failed", 1)
+            reporter.answer(at, "failed", 1)
             downstream.fail()
         return
-    told.attempt(at, 0, name, "up", took)
-    _stand(context, answer.connection, name, visit, told, at, 1, resumed=True)
-    _inherit(context, answer.connection, request, at)
+    reporter.attempt(at, 0, name, "up", took)
+    _establish(context, answer.connection, name, active, reporter, at, 1, resumed=True)
+    _forward_inherited(context, answer.connection, request, at)
--- a/bramblestile/protocol.py
+++ b/bramblestile/protocol.py
@@ -1,4 +1,4 @@
-"""What the life of a request needs from a wire: the small typed interface that every front implements."""
+"""The interface between the life of a request and a wire protocol. Every front's protocol implements it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """A downstream's wish for a connection. ``wait``: how long it waits for the answer."""
+    """A downstream's request for a connection. ``timeout`` is how long the client waits for the answer."""
 
     id: str
     cls: str
@@ -32,18 +32,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Established:
-    """The upstream host has taken the connection; ``standing`` carries it to its end."""
+    """The upstream host has accepted the connection."""
 
     connection: ProxiedConnection
 
 
 @dataclass(slots=True, frozen=True)
 class NotEstablished:
-    """An upstream request's end without a connection."""
+    """An upstream request ended without a connection."""
 
     status: Status
     downstream_left: bool = False
-    host_drains: bool = False  # the upstream host said so itself
+    host_drains: bool = False  # the upstream host announced that it drains
     detail: str = ""  # what the status does not tell, for the trace and the log
 
 
@@ -51,35 +51,46 @@
 
 
 class Downstream(Protocol):
-    """The client's side of one request, and how to make its upstream requests."""
+    """The client's side of one request, which also makes its upstream requests."""
 
-    def has_disconnected(self) -> bool: ...
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed or reset its connection."""
 
     def refuse(self, retry_after: timedelta) -> None:
-        """Local reply: refused, trying again is harmless."""
+        """Send the local reply "refused": retrying is harmless. A ``retry_after`` of 0 names no time."""
 
     def fail(self) -> None:
-        """Local reply: failed, nothing is promised."""
+        """Send the local reply "failed": the request may have run."""
 
     def upstream_request(
         self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
     ) -> UpstreamAnswer:
-        """One upstream request. ``may_send`` is held after dialling, while the first bytes go."""
+        """Make one upstream request, which must be answered before ``until``.
+
+        ``send_guard`` is held after dialling, while the first bytes are written.
+        """
 
 
 class Dial(Protocol):
-    """A connection to the upstream host that was chosen: its socket, or a channel over it."""
+    """Connects to the upstream host that was chosen."""
 
     def __call__(self, connect_timeout: timedelta, until: timedelta) -> Transport:
-        """``connect_within`` bounds the connection, ``until`` all that comes before the first byte. OSError; one that
-        is a DialError tells more."""
+        """Return a connected socket, or a channel over it.
+
+        ``connect_timeout`` limits the TCP connect; everything that precedes the first byte of the request must be done
+        before ``until``. Raises OSError; a DialError tells whether the host was contacted.
+        """
 
 
-# How a front dials its upstream hosts: the host, and the two bounds of a Dial.
+# Dials an upstream host; the durations are those of Dial.__call__.
 DialHost = Callable[[UpstreamHost, timedelta, timedelta], Transport]
 
 
 class SendGuard(Protocol):
-    """Held around the first bytes of an upstream request: whether they may still go."""
+    """Creates the context manager that is held while the first bytes of an upstream request are written.
+
+    It yields whether they may still be sent.
+    """
 
-    def __call__(self) -> AbstractContextManager[bool]: ...
+    def __call__(self) -> AbstractContextManager[bool]:
+        """Return a new context manager."""
