--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -200,7 +200,7 @@
                 self._counters.add("decision_faults")
                 self._log.exception("decision fault", told=type(event).__name__)
                 return
-            snapshots: Sequence[DecisionSnapshot] = self._balancer.decisions
+            decisions: Sequence[DecisionSnapshot] = self._balancer.decisions
             counter_names = self._balancer.counter_names
             for action in actions:
                 if isinstance(action, (api.Attempt, api.Refuse, api.Fail)):
@@ -212,7 +212,7 @@
         for name in counter_names:
             self._counters.add(name)
         if tracer.recording:
-            self._trace(tracer, at, event, snapshots, other_actions)
+            self._trace(tracer, at, event, decisions, other_actions)
         for action in other_actions:
             self._carry_out(action)
 
@@ -221,7 +221,7 @@
         tracer: Tracer,
         at: timedelta,
         event: api.Event,
-        snapshots: Sequence[DecisionSnapshot],
+        decisions: Sequence[DecisionSnapshot],
         actions: Sequence[api.Action],
     ) -> None:
         """Record an event and the decisions that followed from it. Called without the lock."""
@@ -231,7 +231,7 @@
             tracer.note(at, event)
         elif isinstance(event, api.BackendList):
             tracer.listed(at, self._name, event)
-        for snapshot in snapshots:
+        for snapshot in decisions:
             tracer.decision(at, snapshot)
         for action in actions:
             if isinstance(action, api.Probe):
