--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -330,12 +330,12 @@
                     break
                 sockets.write(sock, [lines.BUSY if self.away else lines.PONG])
             else:
-                raise lines.MalformedError("PING and nothing else")
+                raise lines.MalformedRequestError("PING and nothing else")
             asked, head = lines.parse_open(line)
         except TimeoutError:
             self._turn_away(sock, lines.ERR)
             return
-        except (sockets.LineTooLongError, lines.MalformedError) as error:
+        except (sockets.LineTooLongError, lines.MalformedRequestError) as error:
             self._reject(sock, lines.ERR, error)
             return
         if not self._admits(sock):
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -1,4 +1,4 @@
-"""What both dialects' downstreams share: leaving seen, local replies, dialling for an upstream request."""
+"""What the downstreams of both protocols share: disconnect detection, local replies and dialling."""
 
 from __future__ import annotations
 
@@ -13,28 +13,32 @@
 from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
-MAX_PINGS = 16  # before a request: a front asks once, and who asks on and on wants nothing else
+MAX_PINGS = 16  # before a request; the platform's front sends one, as its health check
 
 
 class SocketDownstream(ABC):
-    """A downstream on a socket whose first words have been read."""
+    """A downstream on a socket whose request has been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, asked: ClientRequest) -> None:
+    def __init__(self, sock: socket.socket, reader: LineReader, request: ClientRequest) -> None:
         self._sock = sock
-        self._reader = reader  # holds what the downstream sent beyond its first words
-        self._asked = asked
+        self._reader = reader  # may hold bytes that the downstream sent after its request
+        self._request = request
 
     def has_disconnected(self) -> bool:
+        """Return whether the client has closed or reset its connection."""
         return sockets.has_disconnected(self._sock)
 
     @abstractmethod
-    def refuse(self, retry_after: timedelta) -> None: ...
+    def refuse(self, retry_after: timedelta) -> None:
+        """Send the local reply "refused" and close."""
 
     @abstractmethod
-    def fail(self) -> None: ...
+    def fail(self) -> None:
+        """Send the local reply "failed" and close."""
 
     @abstractmethod
-    def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer: ...
+    def _exchange(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
+        """Send the request on an open connection and read the upstream host's answer."""
 
     def _reply(self, line: bytes) -> None:
         sockets.reply_and_close(self._sock, line)
@@ -42,7 +46,7 @@
     def upstream_request(
         self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
     ) -> UpstreamAnswer:
-        """Dials and asks; the connection is closed unless the answer keeps it."""
+        """Dial and send the request. The connection is closed unless the upstream host accepts it."""
         try:
             upstream = dial(min(connect_timeout, until - now()), until)
         except sockets.DialError as error:
@@ -51,7 +55,7 @@
             return NotEstablished(Status.NO_ROUTE)
         answer: UpstreamAnswer | None = None
         try:
-            answer = self._ask(upstream, until, send_guard)
+            answer = self._exchange(upstream, until, send_guard)
             return answer
         finally:
             if not isinstance(answer, Established):
@@ -61,5 +65,5 @@
 
 
 def dial_plain(host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
-    """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
+    """Connect to an upstream host without TLS. ``until`` is unused, as nothing precedes the first byte."""
     return sockets.dial(host.address, connect_timeout)
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -1,7 +1,7 @@
-"""The NATS client protocol on both sides: INFO and CONNECT, upstream requests, and how messages pass.
+"""The NATS client protocol on both sides: INFO and CONNECT, upstream requests, and message framing.
 
-Written from the protocol's public description. A request is a client's CONNECT; it is up once an upstream
-host has answered PONG to the PING that follows our CONNECT. From then on bytes pass unchanged.
+Written from the protocol's public description. A request is a client's CONNECT. It is up once an upstream host has
+answered PONG to the PING that follows our CONNECT; from then on bytes pass unchanged.
 """
 
 from __future__ import annotations
@@ -24,27 +24,28 @@
 from bramblestile.wire.common import MAX_PINGS, SocketDownstream, dial_plain
 from vanegw.interface import Report, Status
 
-MAX_LINE_BYTES = 4096  # bytes of one control line with its ending
-PAYLOADS = (b"PUB", b"HPUB", b"MSG", b"HMSG")  # their last word is the size of what follows
-CONNECT_TIMEOUT = timedelta(seconds=2)  # for the client's CONNECT, as common servers have it
+MAX_LINE_BYTES = 4096  # one control line with its ending; a host's INFO may have four times as many
+PAYLOAD_VERBS = (b"PUB", b"HPUB", b"MSG", b"HMSG")  # their last word is the size of the payload that follows
+CONNECT_TIMEOUT = timedelta(seconds=2)  # for the client's CONNECT; NATS servers use the same
 PING, PONG, OK = b"PING\r\n", b"PONG\r\n", b"+OK\r\n"
 
 
 def error(words: str) -> bytes:
+    """Return a ``-ERR`` line."""
     return f"-ERR '{words}'\r\n".encode()
 
 
 CONNECTIONS_EXCEEDED = "maximum connections exceeded"
-STALE_CONNECTION = error("Stale Connection")  # client libraries answer it by connecting again
-NO_CONNECT = error("Authentication Timeout")
-UNKNOWN = error("Unknown Protocol Operation")
-PARSER = error("Parser Error")
-LINE_LIMIT = error("Maximum Control Line Exceeded")
-PAYLOAD_LIMIT = error("Maximum Payload Violation")
+STALE_CONNECTION = error("Stale Connection")  # client libraries reconnect when they get it
+AUTHENTICATION_TIMEOUT = error("Authentication Timeout")
+UNKNOWN_OPERATION = error("Unknown Protocol Operation")
+PARSER_ERROR = error("Parser Error")
+LINE_TOO_LONG = error("Maximum Control Line Exceeded")
+PAYLOAD_TOO_LARGE = error("Maximum Payload Violation")
 
 
 class RejectedError(Exception):
-    """What the client said before it was taken is answered with this reply."""
+    """What a client sent in place of a valid CONNECT. ``reply`` is the answer to it."""
 
     def __init__(self, reply: bytes) -> None:
         super().__init__(decode_line(memoryview(reply)))
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class User:
-    """What a CONNECT's ``user`` stands for in the module's terms."""
+    """The request class and tenant of the clients whose CONNECT names one ``user``."""
 
     cls: str
     tenant: str | None = None
@@ -61,7 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerInfo:
-    """What the front says of itself, and whom it knows."""
+    """What the front announces in its INFO, and the users that it knows.
+
+    ``default`` stands for clients without a known user. ``max_payload`` is in bytes.
+    """
 
     name: str
     address: Address
@@ -70,7 +74,8 @@
     max_payload: int = 1 << 20
 
     def info_line(self, ldm: bool = False) -> bytes:
-        said: dict[str, Any] = {
+        """Return the INFO line; ``ldm`` (lame duck mode) tells clients to connect elsewhere."""
+        info: dict[str, Any] = {
             "server_id": self.name,
             "server_name": self.name,
             "version": "2.10.0",
@@ -81,22 +86,26 @@
             "max_payload": self.max_payload,
         }
         if ldm:
-            said["ldm"] = True
-        return b"INFO " + json.dumps(said, separators=(",", ":")).encode() + b"\r\n"
+            info["ldm"] = True
+        return b"INFO " + json.dumps(info, separators=(",", ":")).encode() + b"\r\n"
 
 
 def read_connect(
-    sock: socket.socket, reader: LineReader, server_info: ServerInfo, waits: Mapping[str, timedelta]
+    sock: socket.socket, reader: LineReader, server_info: ServerInfo, timeouts: Mapping[str, timedelta]
 ) -> tuple[ClientRequest, bytes, bool] | None:
-    """The client's CONNECT: what it asks for, the line as it came, whether it is verbose. None: it left."""
+    """Read the client's CONNECT, answering PINGs that precede it.
+
+    ``timeouts`` holds how long the clients of each request class wait for their answer. Returns the request, the line
+    as it was received, and whether the client is verbose; None where the client left. Raises RejectedError.
+    """
     until = now() + CONNECT_TIMEOUT
     for _ in range(MAX_PINGS):
         try:
             line = reader.line(max(until - now(), ZERO_DURATION))
         except TimeoutError:
-            raise RejectedError(NO_CONNECT) from None
+            raise RejectedError(AUTHENTICATION_TIMEOUT) from None
         except sockets.LineTooLongError:
-            raise RejectedError(LINE_LIMIT) from None
+            raise RejectedError(LINE_TOO_LONG) from None
         if line is None:
             return None
         word, _, rest = bytes(line).strip().partition(b" ")
@@ -105,111 +114,114 @@
         elif word.upper() == b"CONNECT":
             break
         else:
-            raise RejectedError(UNKNOWN)
+            raise RejectedError(UNKNOWN_OPERATION)
     else:
-        raise RejectedError(UNKNOWN)
+        raise RejectedError(UNKNOWN_OPERATION)
     try:
         options = json.loads(rest)
         user = server_info.users.get(str(options.get("user")), server_info.default)
         name = options.get("name")
         verbose = bool(options.get("verbose"))
     except (ValueError, AttributeError):
-        raise RejectedError(PARSER) from None
-    # Clients of one name work on the same collection: they are a group to the module.
+        raise RejectedError(PARSER_ERROR) from None
+    # Clients with the same name work on the same collection, so the module treats them as a group.
     tag = blake2b(name.encode(), digest_size=6).digest() if isinstance(name, str) else None
     group = int.from_bytes(tag, "big") if tag else None
-    asked = ClientRequest(uuid.uuid4().hex, user.cls, waits[user.cls], user.tenant, group=group)
-    return asked, bytes(line), verbose
+    request = ClientRequest(uuid.uuid4().hex, user.cls, timeouts[user.cls], user.tenant, group=group)
+    return request, bytes(line), verbose
 
 
-def is_ldm(info: bytes) -> bool:
+def announces_lame_duck(info: bytes) -> bool:
+    """Return whether an INFO line announces lame duck mode, which means that the host drains."""
     try:
-        said = json.loads(info.partition(b" ")[2])
-        return isinstance(said, dict) and said.get("ldm") is True
+        options = json.loads(info.partition(b" ")[2])
+        return isinstance(options, dict) and options.get("ldm") is True
     except ValueError:
         return False
 
 
 def error_status(line: bytes) -> Status:
-    """A host that is full has not looked at the CONNECT; after any other error it may have run."""
-    said = line.lower()
-    return Status.NO_ROOM if b"maximum" in said and b"connections exceeded" in said else Status.ERROR
+    """Return the status for a host's ``-ERR``. A full host has not processed the CONNECT; otherwise it may have run."""
+    lowered = line.lower()
+    return Status.NO_ROOM if b"maximum" in lowered and b"connections exceeded" in lowered else Status.ERROR
 
 
-def has_stopped_draining(dial: DialHost, host: UpstreamHost, within: timedelta) -> bool:
-    """Reads a host's INFO, sends nothing, and leaves."""
+def has_stopped_draining(dial: DialHost, host: UpstreamHost, timeout: timedelta) -> bool:
+    """Connect to a host, read its INFO and return whether it no longer announces lame duck mode. Sends nothing."""
     try:
-        sock = dial(host, within, now() + within)
+        transport = dial(host, timeout, now() + timeout)
         try:
-            line = LineReader(sock, MAX_LINE_BYTES * 4).line(within)
-            return line is not None and bytes(line[:4]).upper() == b"INFO" and not is_ldm(bytes(line))
+            line = LineReader(transport, MAX_LINE_BYTES * 4).line(timeout)
+            return line is not None and bytes(line[:4]).upper() == b"INFO" and not announces_lame_duck(bytes(line))
         finally:
-            sockets.close(sock)
+            sockets.close(transport)
     except (OSError, sockets.LineTooLongError):
         return False
 
 
-def read_info(sock: Transport, until: timedelta) -> bytes:
-    """What a host says before TLS begins: its INFO, and not a byte more. DialError."""
-    reader = LineReader(sock, MAX_LINE_BYTES * 4)
+def read_info(transport: Transport, until: timedelta) -> bytes:
+    """Read the INFO that a host sends in plain text before TLS begins. Raises DialError."""
+    reader = LineReader(transport, MAX_LINE_BYTES * 4)
     try:
         line = reader.line(max(until - now(), ZERO_DURATION))
     except TimeoutError:
         raise sockets.DialError("nats: no INFO in time") from None
     except sockets.LineTooLongError:
-        raise sockets.DialError("nats: an over-long INFO") from None
+        raise sockets.DialError("nats: the INFO line is too long") from None
     if line is None or bytes(line[:4]).upper() != b"INFO":
         raise sockets.DialError("nats: the host did not begin with INFO")
-    said = bytes(line)
+    info = bytes(line)
     if reader.take_buffered():
-        # Whoever stands between could put words in the host's mouth that seem to have come over TLS.
-        raise sockets.DialError("nats: the host says more than INFO before TLS")
-    return said
+        # An attacker on the path could inject plain text that would appear to have come over TLS.
+        raise sockets.DialError("nats: the host sends more than INFO before TLS")
+    return info
 
 
 class NatsFramer:
-    """Follows one direction, over split and joined reads, through payloads that may hold any bytes."""
+    """Frames one direction of NATS messages, across reads of any size; payloads may hold any bytes."""
 
     def __init__(self, kinds: Mapping[bytes, MessageKind], max_payload: int | None = None) -> None:
         self._kinds = kinds
-        self._max_payload = max_payload  # None: the upstream host's own affair
-        self._owed = 0  # bytes of a payload, with its ending, that are still to come
+        self._max_payload = max_payload  # bytes; None: sizes are not checked, as for upstream hosts
+        self._payload_remaining = 0  # bytes of the current payload, with its line ending, still to come
 
     def feed(self, data: memoryview) -> tuple[int, list[Message]]:
-        raw, at, messages = bytes(data), 0, []
-        while at < len(raw):
-            if self._owed:
-                step = min(self._owed, len(raw) - at)
-                self._owed -= step
-                at += step
+        """Return how much may be forwarded and the control lines that end in it. Raises ProtocolViolationError."""
+        raw, position, messages = bytes(data), 0, []
+        while position < len(raw):
+            if self._payload_remaining:
+                step = min(self._payload_remaining, len(raw) - position)
+                self._payload_remaining -= step
+                position += step
                 continue
-            end = raw.find(b"\n", at)
-            if (end if end >= 0 else len(raw)) - at > MAX_LINE_BYTES and self._max_payload is not None:
-                raise ProtocolViolationError(LINE_LIMIT)
+            end = raw.find(b"\n", position)
+            if (end if end >= 0 else len(raw)) - position > MAX_LINE_BYTES and self._max_payload is not None:
+                raise ProtocolViolationError(LINE_TOO_LONG)
             if end < 0:
                 break
-            messages.append(self._line(raw[at : end + 1]))
-            at = end + 1
-        return at, messages
+            messages.append(self._parse_line(raw[position : end + 1]))
+            position = end + 1
+        return position, messages
 
-    def _line(self, line: bytes) -> Message:
+    def _parse_line(self, line: bytes) -> Message:
         words = line.split()
         word = words[0].upper() if words else b""
-        if word in PAYLOADS:
+        if word in PAYLOAD_VERBS:
             if not words[-1].isdigit():
                 if self._max_payload is not None:
-                    raise ProtocolViolationError(PARSER)
+                    raise ProtocolViolationError(PARSER_ERROR)
                 return Message(MessageKind.OTHER)
             size = int(words[-1])
             if self._max_payload is not None and size > self._max_payload:
-                raise ProtocolViolationError(PAYLOAD_LIMIT)
-            self._owed = size + 2
-        if word == b"INFO" and is_ldm(line):
+                raise ProtocolViolationError(PAYLOAD_TOO_LARGE)
+            self._payload_remaining = size + 2
+        if word == b"INFO" and announces_lame_duck(line):
             return Message(MessageKind.DRAINING)
         return Message(self._kinds.get(word, MessageKind.OTHER))
 
     def at_boundary(self) -> bool:
-        return self._owed == 0
+        """Return whether no part of a payload is still to come."""
+        return self._payload_remaining == 0
 
 
 class NatsDownstream(SocketDownstream):
@@ -220,23 +232,25 @@
         sock: socket.socket,
         reader: LineReader,
         server_info: ServerInfo,
-        asked: ClientRequest,
+        request: ClientRequest,
         connect: bytes,
         verbose: bool,
     ) -> None:
-        super().__init__(sock, reader, asked)
-        self._greeting = server_info
+        super().__init__(sock, reader, request)
+        self._server_info = server_info
         self._connect = connect
         self._verbose = verbose
 
     def refuse(self, retry_after: timedelta) -> None:
+        """Send that the maximum of connections is exceeded, with the retry time if there is one, and close."""
         ms = to_milliseconds(retry_after)
         self._reply(error(f"{CONNECTIONS_EXCEEDED}, come back in {ms} ms" if ms > 0 else CONNECTIONS_EXCEEDED))
 
     def fail(self) -> None:
+        """Send that the connection is stale and close."""
         self._reply(STALE_CONNECTION)
 
-    def _ask(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
+    def _exchange(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
         reader = LineReader(upstream, MAX_LINE_BYTES * 4)  # an INFO may be longer than a client's lines
         sent = False
         while True:
@@ -250,10 +264,11 @@
                 line = None
             if line is None:
                 return NotEstablished(Status.CUT if sent else Status.NO_ROUTE)
-            said = bytes(line).strip()
-            word = said.partition(b" ")[0].upper()
+            received = bytes(line).strip()
+            word = received.partition(b" ")[0].upper()
             if word == b"INFO":
-                if is_ldm(said):  # it drains: before CONNECT nothing ran, after it the client is sent away
+                if announces_lame_duck(received):
+                    # It drains: before CONNECT nothing has run, after it the client is sent away.
                     return NotEstablished(Status.CANCELLED if sent else Status.NO_ROOM, host_drains=True)
                 if not sent:
                     try:
@@ -265,18 +280,18 @@
                         return NotEstablished(Status.NO_ROUTE)
                     sent = True
             elif word == b"-ERR":
-                return NotEstablished(error_status(said))
+                return NotEstablished(error_status(received))
             elif word == b"PING":
-                sockets.write(upstream, [PONG])  # the host measures its way; the client is not there yet
+                sockets.write(upstream, [PONG])  # the host measures its round trip; the client is not connected yet
             elif word == b"PONG" and sent:
-                return Established(self._standing(upstream, reader))
+                return Established(self._connection(upstream, reader))
             elif word != b"+OK":
                 return NotEstablished(Status.ERROR)
 
-    def _standing(self, upstream: Transport, reader: LineReader) -> ProxiedConnection:
-        server_info = self._greeting
+    def _connection(self, upstream: Transport, reader: LineReader) -> ProxiedConnection:
+        server_info = self._server_info
         return ProxiedConnection(
-            self._asked.id,
+            self._request.id,
             "",
             self._sock,
             upstream,
@@ -291,25 +306,26 @@
 
 
 class Prober:
-    """NATS hosts report no load: a probe tells whether one answers PING."""
+    """Probes whether a host answers PING. NATS hosts report no load."""
 
     def __init__(self, dial: DialHost = dial_plain) -> None:
         self._dial = dial
 
-    def probe(self, host: UpstreamHost, within: timedelta) -> tuple[Status, Report | None]:
-        until = now() + within
+    def probe(self, host: UpstreamHost, timeout: timedelta) -> tuple[Status, Report | None]:
+        """Connect, send CONNECT and PING, and return how that ended; there is never a load report."""
+        until = now() + timeout
         try:
-            sock = self._dial(host, within, until)
+            transport = self._dial(host, timeout, until)
             try:
-                reader = LineReader(sock, MAX_LINE_BYTES * 4)
-                sockets.write(sock, [b'CONNECT {"verbose":false}\r\n', PING])
+                reader = LineReader(transport, MAX_LINE_BYTES * 4)
+                sockets.write(transport, [b'CONNECT {"verbose":false}\r\n', PING])
                 while line := reader.line(max(until - now(), ZERO_DURATION)):
                     word = bytes(line).partition(b" ")[0].strip().upper()
                     if word in (b"PONG", b"-ERR"):
                         return (Status.SERVED, None) if word == b"PONG" else (error_status(bytes(line)), None)
                 return Status.CUT, None
             finally:
-                sockets.close(sock)
+                sockets.close(transport)
         except sockets.DialError as error:
             return (Status.NOT_SENT if error.skipped else Status.NO_ROUTE), None
         except TimeoutError:
@@ -318,4 +334,4 @@
             return Status.NO_ROUTE, None
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
