--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -1,7 +1,7 @@
-"""Agent-check and HTTP health, both ways: what we tell of ourselves, and what upstream hosts tell.
+"""Agent checks and HTTP health checks: answering them for this balancer, and running them on upstream hosts.
 
-The agent-check is a line of ASCII words on a TCP connection that is then closed, as common balancers have it:
-a state (up, down, ready, drain, maint, stopped, fail), a weight (75%), both, or neither.
+An agent check answers a TCP connection with one line of ASCII words and closes it, as common load balancers expect: a
+state (up, down, ready, drain, maint, stopped, fail), a weight (75%), both, or neither.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from bramblestile.sockets import Address, LineReader, decode_line
 
 MAX_LINE_BYTES = 4096
-WITHIN = timedelta(seconds=2)  # for the other side's request
-TAKES_WORK = {
+REQUEST_TIMEOUT = timedelta(seconds=2)  # for a whole HTTP request
+TAKES_WORK = {  # by an agent's state word
     "up": True,
     "ready": True,
     "down": False,
@@ -32,64 +32,65 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckResult:
-    """What a check says. None: nothing, what was known stands. ``share`` is of the listed weight."""
+    """The result of a check. None leaves the earlier value in force; ``share`` is the part of the listed weight."""
 
     takes_work: bool | None = None
     share: float | None = None
 
 
 def parse_agent_line(line: str) -> CheckResult:
-    """Words that are not known, such as a maxconn, are passed over; the last state and weight count."""
+    """Parse an agent's line. The last weight counts; unknown words such as ``maxconn:30`` are ignored."""
     takes_work, share = None, None
     for word in line.partition("#")[0].replace(",", " ").lower().split():
         if word.endswith("%") and word.isascii() and word[:-1].isdigit():
             share = min(1.0, int(word[:-1]) / 100)
         elif word in TAKES_WORK and takes_work is not False:
-            takes_work = TAKES_WORK[word]  # of 'ready down' the worse counts
+            takes_work = TAKES_WORK[word]  # of 'ready down' the worse state counts
     if share == 0:
-        return CheckResult(False, None)  # a weight of nothing is a drain
+        return CheckResult(False, None)  # a weight of 0 means drain
     return CheckResult(takes_work, share)
 
 
 @dataclass(slots=True, frozen=True)
 class CheckTarget:
-    """Where one upstream host answers: its agent, or its health path over HTTP."""
+    """Where one upstream host answers checks: its agent, or its health path over HTTP."""
 
     address: Address
-    path: str | None = None  # None: agent-check
+    path: str | None = None  # None: agent check
 
 
-def run_check(check: CheckTarget, within: timedelta) -> CheckResult:
-    """One check. OSError when no sound answer comes in time."""
-    until = now() + within
-    with contextlib.closing(sockets.dial(check.address, within)) as sock:
+def run_check(target: CheckTarget, timeout: timedelta) -> CheckResult:
+    """Run one check. Raises OSError when no valid answer comes in time."""
+    until = now() + timeout
+    with contextlib.closing(sockets.dial(target.address, timeout)) as sock:
         reader = LineReader(sock, MAX_LINE_BYTES)
         try:
-            if check.path is not None:
+            if target.path is not None:
                 sockets.write(
-                    sock, [b"GET ", check.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\nConnection: close\r\n\r\n"]
+                    sock, [b"GET ", target.path.encode(), b" HTTP/1.1\r\nHost: upstream\r\nConnection: close\r\n\r\n"]
                 )
             line = reader.line(max(until - now(), ZERO_DURATION))
         except sockets.LineTooLongError:
-            raise ConnectionError("an over-long answer") from None
-        said = decode_line(line) if line is not None else reader.take_buffered().decode("ascii", "replace")
-        if check.path is None:
-            return parse_agent_line(said)
-        words = said.split()
+            raise ConnectionError("the answer's first line is too long") from None
+        answer = decode_line(line) if line is not None else reader.take_buffered().decode("ascii", "replace")
+        if target.path is None:
+            return parse_agent_line(answer)
+        words = answer.split()
         if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
-            raise ConnectionError(f"not HTTP: {said[:40]!r}")
+            raise ConnectionError(f"not HTTP: {answer[:40]!r}")
         return CheckResult(takes_work=200 <= int(words[1]) < 400)
 
 
 @dataclass(slots=True, frozen=True)
 class Health:
-    """What is said of this balancer: whether it takes work, and the share of its hosts that do."""
+    """The health of this balancer: whether it takes work, and the share of its upstream hosts that do."""
 
     takes_work: bool
     draining: bool = False
     share: float = 1.0
 
     def agent_line(self) -> bytes:
+        """Return the answer to an agent check."""
         if self.draining:
             return b"drain\n"
         if not self.takes_work:
@@ -98,17 +99,17 @@
 
 
 def serve_agent_check(sock: socket.socket, health: Callable[[], Health]) -> None:
-    """The answer does not wait for the other side to speak: an agent-send string is optional."""
+    """Answer an agent check without reading: the text that a checker may send first is optional."""
     sockets.write(sock, [health().agent_line()])
     sockets.close(sock)
 
 
 def serve_http_check(sock: socket.socket, health: Callable[[], Health], path: str) -> None:
-    """One GET or HEAD a connection: 200 while we take work, 503 when not, 404 for any other path."""
+    """Answer one GET or HEAD: 200 while this balancer takes work, 503 while not, 404 for any other path."""
     reader = LineReader(sock, MAX_LINE_BYTES)
-    until = now() + WITHIN
+    until = now() + REQUEST_TIMEOUT
     try:
-        words = decode_line(reader.line(WITHIN) or memoryview(b"")).split(" ")
+        words = decode_line(reader.line(REQUEST_TIMEOUT) or memoryview(b"")).split(" ")
         while (line := reader.line(max(until - now(), ZERO_DURATION))) is not None and decode_line(line):
             pass
     except (TimeoutError, sockets.LineTooLongError):
--- a/bramblestile/wire/checks.py
+++ b/bramblestile/wire/checks.py
@@ -1,4 +1,4 @@
-"""Checks the upstream hosts that have an agent or a health path, one thread a host."""
+"""Periodic checks of the upstream hosts that have an agent or a health path, one thread for each host."""
 
 from __future__ import annotations
 
@@ -10,49 +10,53 @@
 from bramblestile.wire import agent
 from bramblestile.wire.agent import CheckResult, CheckTarget
 
-FALL = 3  # failed checks in a row after which a host is taken for down
-RISE = 2  # sound ones in a row after which it is believed again
-WITHIN = timedelta(seconds=1)
+FAILURES_UNTIL_DOWN = 3  # consecutive failed checks after which a host counts as down
+SUCCESSES_UNTIL_UP = 2  # consecutive successful checks after which it counts as up again
+CHECK_TIMEOUT = timedelta(seconds=1)
 
 
 class HealthChecker:
+    """Runs each host's check at an interval and passes the results to ``on_result``."""
+
     def __init__(
         self,
-        checks: Mapping[str, CheckTarget],
-        every: timedelta,
-        tell: Callable[[str, CheckResult], None],
+        targets: Mapping[str, CheckTarget],
+        interval: timedelta,
+        on_result: Callable[[str, CheckResult], None],
         counters: Counters,
     ) -> None:
-        self._checks = checks
-        self._every = every
-        self._tell = tell
+        self._targets = targets
+        self._interval = interval
+        self._on_result = on_result
         self._counters = counters
         self._stopped = threading.Event()
 
     def start(self) -> None:
-        for name, check in self._checks.items():
+        """Start a thread for each host."""
+        for name, check in self._targets.items():
             threading.Thread(target=self._run, args=(name, check), name="check " + name, daemon=True).start()
 
     def _run(self, name: str, check: CheckTarget) -> None:
-        failed, sound, down = 0, 0, False
+        failures, successes, down = 0, 0, False
         while not self._stopped.is_set():
             try:
-                opinion = agent.run_check(check, min(WITHIN, self._every))
-                failed, sound = 0, sound + 1
+                result = agent.run_check(check, min(CHECK_TIMEOUT, self._interval))
+                failures, successes = 0, successes + 1
                 self._counters.add("checks_sound")
-                # An agent that answers says what it says at once; a host that was down must prove itself.
-                if not down or sound >= RISE:
-                    if down and opinion.takes_work is None:
-                        opinion = CheckResult(True, opinion.share)
+                # A result takes effect at once, unless the host was down: then it has to succeed several times.
+                if not down or successes >= SUCCESSES_UNTIL_UP:
+                    if down and result.takes_work is None:
+                        result = CheckResult(True, result.share)
                     down = False
-                    self._tell(name, opinion)
+                    self._on_result(name, result)
             except OSError:
-                failed, sound = failed + 1, 0
+                failures, successes = failures + 1, 0
                 self._counters.add("checks_failed")
-                if failed >= FALL and not down:
+                if failures >= FAILURES_UNTIL_DOWN and not down:
                     down = True
-                    self._tell(name, CheckResult(takes_work=False))
-            self._stopped.wait(self._every.total_seconds())
+                    self._on_result(name, CheckResult(takes_work=False))
+            self._stopped.wait(self._interval.total_seconds())
 
     def stop(self) -> None:
+        """Run no further checks. A check in progress may still pass on its result."""
         self._stopped.set()
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over HTTP/1.1: the whole list, the watch on its changes, and the parser of its answers."""
+"""Discovery over HTTP/1.1: the whole list of upstream hosts, and a long-poll watch on its changes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 from vanegw.interface import ListMode, State
 
 STATES = {"in_service": State.RUNNING, "terminating": State.DRAINING, "terminated": State.GONE}
-LARGEST = 4 << 20  # bytes of one answer
-WATCH_WAIT = timedelta(seconds=8)  # a dead discovery is noticed this much and SLACK later
-SLACK = timedelta(seconds=2)  # discovery may take so long over its answer beyond the wait
+MAX_RESPONSE_BYTES = 4 << 20
+LONG_POLL_WAIT = timedelta(seconds=8)  # a dead discovery is noticed after this plus RESPONSE_MARGIN
+RESPONSE_MARGIN = timedelta(seconds=2)  # how much longer than the wait a response may take
 
 
 class BadResponseError(Exception):
-    """Discovery's answer is not what its page describes."""
+    """Discovery's response is not what its protocol describes."""
 
 
 def address(value: str) -> Address:
+    """Parse ``HOST:PORT``. Raises ValueError."""
     host, colon, port = value.rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ValueError(f"{value!r} is not HOST:PORT")
@@ -34,7 +35,7 @@
 
 
 def hosts(entries: Any) -> list[UpstreamHost]:
-    """The entries of a list. ValueError names what is wrong with one."""
+    """Parse the entries of a list. Raises ValueError, which names the faulty entry."""
     if not isinstance(entries, list):
         raise ValueError("hosts is not a list")
     found = []
@@ -60,37 +61,38 @@
 
 
 def parse_list(body: bytes) -> tuple[int, ListMode, list[UpstreamHost]]:
+    """Parse a response's body into version, mode and hosts. Raises BadResponseError."""
     try:
-        got = json.loads(body)
-        mode = ListMode.COMPLETE if got["whole"] else ListMode.CHANGES
-        return int(got["seq"]), mode, hosts(got["hosts"])
+        response = json.loads(body)
+        mode = ListMode.COMPLETE if response["whole"] else ListMode.CHANGES
+        return int(response["seq"]), mode, hosts(response["hosts"])
     except (ValueError, KeyError, TypeError) as error:
         raise BadResponseError(str(error)) from None
 
 
 class HttpClient:
-    """Calls one after the other over a connection that is kept while the other side keeps it."""
+    """Makes one HTTP request at a time, over a connection that is kept while the server keeps it."""
 
-    def __init__(self, to: Address) -> None:
-        self._to = to
+    def __init__(self, server: Address) -> None:
+        self._server = server
         self._sock: socket.socket | None = None
         self._reader: LineReader | None = None
-        self._ended = False
+        self._aborted = False
 
-    def get(self, path: str, within: timedelta) -> tuple[int, bytes]:
-        """Status and body. OSError when nothing usable comes in time; the connection is then given up."""
-        until = now() + within
-        kept = self._sock is not None
+    def get(self, path: str, timeout: timedelta) -> tuple[int, bytes]:
+        """Return a response's status and body. Raises OSError or BadResponseError, and then closes the connection."""
+        until = now() + timeout
+        reused = self._sock is not None
         try:
             return self._get(path, until)
         except (ConnectionResetError, BrokenPipeError, EOFError):
             self.close()
-            if not kept:
+            if not reused:
                 raise ConnectionResetError("discovery ended the connection") from None
         except (OSError, BadResponseError, sockets.LineTooLongError):
             self.close()
             raise
-        try:  # the kept connection had gone stale: once more on a new one
+        try:  # the server had closed the idle connection: try once more on a new one
             return self._get(path, until)
         except EOFError:
             self.close()
@@ -100,42 +102,43 @@
             raise
 
     def _get(self, path: str, until: timedelta) -> tuple[int, bytes]:
-        if self._ended:
+        if self._aborted:
             raise ConnectionAbortedError("stopped")
         if self._sock is None:
-            self._sock = sockets.dial(self._to, min(until - now(), SLACK))
+            self._sock = sockets.dial(self._server, min(until - now(), RESPONSE_MARGIN))
             self._reader = LineReader(self._sock, 16384)
         reader = self._reader
         assert reader is not None
-        host = f"{self._to[0]}:{self._to[1]}".encode()
+        host = f"{self._server[0]}:{self._server[1]}".encode()
         sockets.write(self._sock, [b"GET ", path.encode(), b" HTTP/1.1\r\nHost: ", host, b"\r\n\r\n"])
-        status, length, keep, chunked = _read_head(reader, until)
+        status, length, keep_alive, chunked = _read_head(reader, until)
         if chunked:
-            parts = []
-            left = LARGEST  # for all chunks together
+            chunks = []
+            remaining = MAX_RESPONSE_BYTES  # for all chunks together
             while size := _chunk_size(decode_line(_line(reader, until))):
-                left -= size
-                if left < 0:
-                    raise BadResponseError(f"more than {LARGEST} bytes in one answer")
-                parts.append(_exactly(self._sock, reader, size, until))
+                remaining -= size
+                if remaining < 0:
+                    raise BadResponseError(f"the response exceeds {MAX_RESPONSE_BYTES} bytes")
+                chunks.append(_read_exactly(self._sock, reader, size, until))
                 _line(reader, until)
             while decode_line(_line(reader, until)):
                 pass
-            body = b"".join(parts)
+            body = b"".join(chunks)
         else:
-            body = _exactly(self._sock, reader, length, until)
-        if not keep:
+            body = _read_exactly(self._sock, reader, length, until)
+        if not keep_alive:
             self.close()
         return status, body
 
     def shut_down(self) -> None:
-        """Ends the call that waits; none follows, not even the second try on a new connection."""
-        self._ended = True
+        """End a request that is waiting in another thread, and allow no further one, not even its retry."""
+        self._aborted = True
         sock = self._sock
         if sock is not None:
             sockets.shut_down(sock)
 
     def close(self) -> None:
+        """Close the connection, if one is open."""
         if self._sock is not None:
             sockets.close(self._sock)
         self._sock = self._reader = None
@@ -149,23 +152,23 @@
 
 
 def _read_head(reader: LineReader, until: timedelta) -> tuple[int, int, bool, bool]:
-    """Status, length, whether the connection stays, whether the body comes in chunks."""
+    """Return status, content length, whether the connection is kept, and whether the body is chunked."""
     words = decode_line(_line(reader, until)).split(" ")
     if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
         raise BadResponseError(f"not HTTP/1.1: {words[:2]}")
-    length, keep, chunked = 0, words[0] == "HTTP/1.1", False
+    length, keep_alive, chunked = 0, words[0] == "HTTP/1.1", False
     while line := decode_line(_line(reader, until)):
         name, _, value = line.partition(":")
         name, value = name.strip().lower(), value.strip().lower()
         if name == "content-length":
-            if not value.isdigit() or int(value) > LARGEST:
+            if not value.isdigit() or int(value) > MAX_RESPONSE_BYTES:
                 raise BadResponseError(f"content-length {value!r}")
             length = int(value)
         elif name == "connection" and value == "close":
-            keep = False
+            keep_alive = False
         elif name == "transfer-encoding" and "chunked" in value:
             chunked = True
-    return int(words[1]), length, keep, chunked
+    return int(words[1]), length, keep_alive, chunked
 
 
 def _chunk_size(line: str) -> int:
@@ -175,88 +178,95 @@
     return int(digits, 16)
 
 
-def _exactly(sock: socket.socket, reader: LineReader, size: int, until: timedelta) -> bytes:
-    if size > LARGEST:
-        raise BadResponseError(f"{size} bytes in one answer")
+def _read_exactly(sock: socket.socket, reader: LineReader, size: int, until: timedelta) -> bytes:
+    if size > MAX_RESPONSE_BYTES:
+        raise BadResponseError(f"a body of {size} bytes")
     body = bytearray(size)
-    got = reader.read_buffered(memoryview(body))
-    while got < size:
+    received = reader.read_buffered(memoryview(body))
+    while received < size:
         if sockets.wait((sock, sockets.READABLE), timeout=max(until - now(), ZERO_DURATION)) is None:
             raise TimeoutError("discovery is silent")
-        more = sock.recv_into(memoryview(body)[got:])
-        if more == 0:
+        count = sock.recv_into(memoryview(body)[received:])
+        if count == 0:
             raise EOFError
-        got += more
+        received += count
     return bytes(body)
 
 
 class DiscoveryWatch:
-    """Watches the list from the first time it is asked to, and again each time it has failed and is asked.
+    """Watches the list of upstream hosts, from the first ``trigger`` on.
 
-    When to ask again is the module's choice; between two calls of one watch there is no pause, because a
-    call that comes later than 200 ms starts a new watch.
+    After a failed request the next ``trigger`` resumes the watch: when to retry is the decision module's choice. There
+    is no pause between two requests of one watch, because discovery starts a new watch for a request that comes more
+    than 200 ms after the last one.
     """
 
     def __init__(
         self,
         discovery: Address,
         version: int | None,
-        tell: Callable[[ListMode, Sequence[UpstreamHost]], None],
+        on_list: Callable[[ListMode, Sequence[UpstreamHost]], None],
         log: Callable[[str], None],
     ) -> None:
-        self._caller = self._version_from = HttpClient(discovery)
-        self.version = version  # None: nothing is held of this discovery's, so the whole list is asked for
-        self._tell = tell
+        self._client = self._version_source = HttpClient(discovery)
+        self.version = version  # of the list that is held; None: the whole list is requested
+        self._on_list = on_list
         self._log = log
-        self._wanted = threading.Event()
+        self._triggered = threading.Event()
         self._stopped = threading.Event()
 
     def start(self) -> None:
+        """Start the watching thread."""
         threading.Thread(target=self._run, name="watch", daemon=True).start()
 
     def trigger(self) -> None:
-        self._wanted.set()
+        """Begin the watch, or resume it after a failure."""
+        self._triggered.set()
 
     def switch_to(self, discovery: Address) -> None:
-        """Another discovery from now on. The call that waits at the old one is ended, nothing new goes there,
-        and the new one is asked at once: what it has to tell may count as told any moment."""
-        old, self._caller = self._caller, HttpClient(discovery)
-        self._wanted.set()
+        """Watch another discovery from now on.
+
+        A request that is waiting at the old one is ended and none follows it. The new one is asked for its whole list
+        at once, since its news may be due at any moment.
+        """
+        old, self._client = self._client, HttpClient(discovery)
+        self._triggered.set()
         old.shut_down()
 
     def _run(self) -> None:
         while True:
-            self._wanted.wait()
-            self._wanted.clear()
+            self._triggered.wait()
+            self._triggered.clear()
             if self._stopped.is_set():
                 return
-            caller = self._caller
-            if caller is not self._version_from:  # another's versions mean nothing to it
-                self._version_from.close()
-                self._version_from, self.version = caller, None
+            client = self._client
+            if client is not self._version_source:  # versions of one discovery mean nothing to another
+                self._version_source.close()
+                self._version_source, self.version = client, None
             try:
-                while caller is self._caller:
-                    self.poll_once(caller)
+                while client is self._client:
+                    self.poll_once(client)
             except (OSError, BadResponseError, sockets.LineTooLongError) as error:
-                if caller is self._caller:
+                if client is self._client:
                     self._log(f"discovery: {error!r}")
-                    self._tell(ListMode.UNAVAILABLE, ())
+                    self._on_list(ListMode.UNAVAILABLE, ())
 
     def stop(self) -> None:
-        """No further call is made; one that waits is ended."""
+        """Make no further request, and end one that is waiting."""
         self._stopped.set()
-        self._wanted.set()
-        self._caller.shut_down()
+        self._triggered.set()
+        self._client.shut_down()
 
-    def poll_once(self, caller: HttpClient) -> None:
+    def poll_once(self, client: HttpClient) -> None:
+        """Make one request and pass on what it brings. Raises OSError or BadResponseError."""
         path = "/v1/servers"
         if self.version is not None:
-            path += f"?since={self.version}&timeout_ms={WATCH_WAIT // timedelta(milliseconds=1)}"
-        status, body = caller.get(path, WATCH_WAIT + SLACK)
+            path += f"?since={self.version}&timeout_ms={LONG_POLL_WAIT // timedelta(milliseconds=1)}"
+        status, body = client.get(path, LONG_POLL_WAIT + RESPONSE_MARGIN)
         if status != 200:
             raise BadResponseError(f"status {status}")
         version, mode, changed = parse_list(body)
-        if caller is not self._caller:
-            return  # an answer of the old one that came while we were told of the new one
+        if client is not self._client:
+            return  # the answer of the old discovery, which arrived during the switch to another one
         self.version = version
-        self._tell(mode, changed)
+        self._on_list(mode, changed)
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -1,4 +1,4 @@
-"""One thread for each upstream host that asks for its load when told to; a silent host delays no other."""
+"""Probes of upstream hosts for their load: one thread for each host, so that a silent host delays no other."""
 
 from __future__ import annotations
 
@@ -12,29 +12,35 @@
 from bramblestile.memory.counters import Counters
 from vanegw.interface import ProbeResult, Report, Status
 
-IDLE = timedelta(seconds=30)  # a host that nobody asks about gives its thread and connection back
+IDLE_TIMEOUT = timedelta(seconds=30)  # a host's thread and connection are closed after this time without a probe
 ProbeHost = Callable[[UpstreamHost, timedelta], tuple[Status, Report | None]]
 
 
 class ProbeRunner:
+    """Runs the requested probes and passes the results to ``on_result``.
+
+    ``make_prober`` returns the functions that probe one host and that close its connection. ``answer_timeout`` limits
+    a probe.
+    """
+
     def __init__(
         self,
         cluster: Cluster,
-        make: Callable[[], tuple[ProbeHost, Callable[[], None]]],
+        make_prober: Callable[[], tuple[ProbeHost, Callable[[], None]]],
         answer_timeout: timedelta,
-        tell: Callable[[ProbeResult], None],
+        on_result: Callable[[ProbeResult], None],
         counters: Counters,
     ) -> None:
         self._cluster = cluster
-        self._make = make
+        self._make_prober = make_prober
         self.answer_timeout = answer_timeout
-        self._tell = tell
+        self._on_result = on_result
         self._counters = counters
         self._lock = threading.Lock()
         self._queues: dict[str, SimpleQueue[None]] = {}
 
     def request(self, host: str, even_if_queued: bool = True) -> None:
-        """``beside``: also where one waits already."""
+        """Queue a probe of a host; with ``even_if_queued=False`` only if none is queued for it already."""
         with self._lock:
             queue = self._queues.get(host)
             if queue is None:
@@ -44,11 +50,11 @@
                 queue.put(None)
 
     def _run(self, name: str, queue: SimpleQueue[None]) -> None:
-        ask, close = self._make()
-        place = None
+        probe, close = self._make_prober()
+        probed_start = None
         while True:
             try:
-                queue.get(timeout=IDLE.total_seconds())
+                queue.get(timeout=IDLE_TIMEOUT.total_seconds())
             except Empty:
                 with self._lock:
                     if queue.empty():
@@ -59,11 +65,11 @@
             host = self._cluster.find(name)
             sent = now()
             if host is None:  # nothing is sent to a host that is no longer listed
-                self._tell(ProbeResult(name, Status.NOT_SENT, 0))
+                self._on_result(ProbeResult(name, Status.NOT_SENT, 0))
                 continue
-            if place not in (None, (host.address, host.started_at)):  # another start may be another host
+            if probed_start not in (None, (host.address, host.started_at)):  # after a restart it may be another host
                 close()
-            place = host.address, host.started_at
-            status, report = ask(host, self.answer_timeout)
+            probed_start = host.address, host.started_at
+            status, report = probe(host, self.answer_timeout)
             self._counters.add(f"probes_{status.name.lower()}")
-            self._tell(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
+            self._on_result(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
