--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -25,7 +25,7 @@
 
 from bramblestile.clock import ZERO_DURATION
 from bramblestile.store.journal import Journal
-from bramblestile.store.replica import DRIFT, Message, Replica
+from bramblestile.store.replica import MAX_CLOCK_DRIFT, Message, Replica
 from bramblestile.work import plan_state
 from bramblestile.work.messages import Poll, Reply
 from bramblestile.work.participant import Participant
@@ -151,7 +151,7 @@
 
     def _start(self, name: str, previous: Process | None) -> None:
         random = self.random
-        clock_rate, clock_offset = 1 + DRIFT * random.uniform(-1, 1), SECOND * random.uniform(0, 1000)
+        clock_rate, clock_offset = 1 + MAX_CLOCK_DRIFT * random.uniform(-1, 1), SECOND * random.uniform(0, 1000)
         process = Process(name, clock_rate, clock_offset, Participant(name, self._count + 1))
         process.restarts = 0 if previous is None else previous.restarts + 1
         if previous is not None:
@@ -264,24 +264,24 @@
             replica = process.replica
             if self.may_lead(replica, local_time):
                 plan = self._plan(process)
-                reply, proposal = process.scheduler.handle_poll(message, plan, replica.applied, local_time)
+                reply, proposal = process.scheduler.handle_poll(message, plan, replica.last_applied, local_time)
                 self._send(process.name, message.name, reply)
-                if proposal is not None and replica.applied == replica.journal.last()[0]:
+                if proposal is not None and replica.last_applied == replica.journal.last_index_and_term()[0]:
                     self._propose(process, replica, proposal, local_time)
             elif replica.leader not in ("", process.name) and not message.hops:
                 self._send(process.name, replica.leader, structs.replace(message, hops=1))
 
     def may_lead(self, replica: Replica, local_time: timedelta) -> bool:
         """Return whether this voter leads and has applied everything that was committed before."""
-        return replica.leads_and_knows(local_time)
+        return replica.is_active_leader(local_time)
 
     # The leader.
 
     def _plan(self, process: Process) -> PlanState:
         assert process.replica is not None
-        if process.plan_cache_index != process.replica.applied:
-            process.plan_cache = process.replica.applied, load_state(process.replica.values)
-            process.plan_cache_index = process.replica.applied
+        if process.plan_cache_index != process.replica.last_applied:
+            process.plan_cache = process.replica.last_applied, load_state(process.replica.values)
+            process.plan_cache_index = process.replica.last_applied
         return process.plan_cache[1]
 
     def _propose(self, process: Process, replica: Replica, proposal: tuple[str, str], local_time: timedelta) -> None:
@@ -295,8 +295,8 @@
             return
         plan = self._plan(process)
         scheduler.begin_term(replica.term, local_time)
-        scheduler.apply(plan, replica.applied, local_time)
-        if replica.applied != replica.journal.last()[0]:
+        scheduler.apply(plan, replica.last_applied, local_time)
+        if replica.last_applied != replica.journal.last_index_and_term()[0]:
             return  # an earlier proposal is not committed yet
         roster_entries = scheduler.roster_updates(plan)
         for entry in roster_entries:
@@ -316,7 +316,7 @@
         if proposal is not None:
             self._propose(process, replica, proposal, local_time)
         if scheduler.should_step_down:
-            self._send_all(process, replica.hand_over(local_time))
+            self._send_all(process, replica.transfer_leadership(local_time))
 
     def _run_command(self, process: Process, name: str, term: int) -> None:
         """Restart the machine; the next leader restarts it again if it is still out."""
@@ -373,7 +373,7 @@
                 process.running
                 and not process.paused
                 and process.replica is not None
-                and process.replica.leads_and_knows(self.clock(process))
+                and process.replica.is_active_leader(self.clock(process))
             ):
                 return process
         return None
@@ -407,13 +407,13 @@
         """Check the invariants on the plan as this voter has applied it."""
         assert process.replica is not None
         replica = process.replica
-        if not replica.news:
+        if not replica.changes:
             return
-        news, replica.news = replica.news, []
+        changes, replica.changes = replica.changes, []
         plan = self._plan(process)
         if plan.status is Status.ABORTED:
             self.aborted_plans.add(plan.id)
-        for key, value in news:
+        for key, value in changes:
             if key.startswith(plan_state.KEY_PREFIX + "m/") and value:
                 self._check_stage(process, key, plan)
         in_progress = [m.name for m in plan.machines.values() if m.stage in IN_PROGRESS_STAGES]
@@ -430,9 +430,9 @@
         if machine is None or process.replica is None:
             return
         index, previous = self.stages.get(name, (0, Stage.WAITING))
-        if process.replica.applied <= index:
+        if process.replica.last_applied <= index:
             return
-        self.stages[name] = process.replica.applied, machine.stage
+        self.stages[name] = process.replica.last_applied, machine.stage
         self.machines_out = [n for n, (_, stage) in self.stages.items() if stage is Stage.OUT]
         if previous is machine.stage:
             return
--- a/bramblestile/store/__init__.py
+++ b/bramblestile/store/__init__.py
@@ -1,1 +1,1 @@
-"""The small replicated store: its agreement without I/O, its journal, and both behind a lock with a clock."""
+"""The replicated key-value store: consensus without I/O, its journal, and a thread-safe service around both."""
--- a/bramblestile/store/journal.py
+++ b/bramblestile/store/journal.py
@@ -1,8 +1,9 @@
-"""What must outlive a restart: term, vote, log and snapshot; a line for each change, synced before any answer.
+"""The durable state of a replica: term, vote, log and snapshot, one JSON line per change.
 
-A line cut off at the end was never answered and is forgotten. Anything else that cannot be read is not ours to repair:
-a voter that lost what it has promised could vote twice. When the log is folded into a snapshot the file is written anew
-beside and renamed, so that one of the two is whole at any time.
+Each line is synced to disk before any message that depends on it is sent. An incomplete last line was never
+acknowledged and is dropped. Any other unreadable line is an error that is not repaired: a voter that has lost its vote
+could vote twice in one term. A snapshot is written to a new file that then replaces the old one by a rename, so that
+one complete file exists at any time.
 """
 
 from __future__ import annotations
@@ -14,22 +15,29 @@
 from pathlib import Path
 from typing import IO, Any
 
-Entry = tuple[int, str, str]  # term, key, value; an empty key is a leader's first, empty entry
+Entry = tuple[int, str, str]  # term, key, value; an empty key marks the entry that a new leader starts its term with
 
 
 class JournalError(Exception):
-    """The file cannot be used; the text says why. Serving goes on without a vote."""
+    """The file cannot be used, for the reason in the text; the process goes on without a vote."""
 
 
 class Journal:
-    """Entries are counted from 1; ``base`` of them are in the snapshot, ``values``, whose last had ``base_term``."""
+    """The durable state, kept in memory as well; a journal without a path is not durable.
+
+    Log indexes count from 1. The first ``snapshot_index`` entries are contained in ``values``, and the last of them
+    has the term ``snapshot_term``.
+
+    Raises:
+        JournalError: if the file is unreadable, or another process has locked it.
+    """
 
     def __init__(self, path: Path | None) -> None:
-        self.term, self.vote = 0, ""
-        self.base = self.base_term = 0
+        self.term, self.voted_for = 0, ""
+        self.snapshot_index = self.snapshot_term = 0
         self.values: dict[str, str] = {}
-        self.entries: list[Entry] = []  # those after ``base``
-        self.failed = False  # a write has failed: nothing may be promised any more
+        self.entries: list[Entry] = []  # those after ``snapshot_index``
+        self.failed = False  # a write has failed: this replica must not vote or acknowledge anything any more
         self._path = path
         self._file: IO[bytes] | None = None
         if path is None:
@@ -39,109 +47,136 @@
             fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             self._file.close()
-            raise JournalError(f"{path.name}: another process holds it") from None
+            raise JournalError(f"{path.name}: in use by another process") from None
         self._file.truncate(self._load(path))
 
     def _load(self, path: Path) -> int:
-        """Bytes that are sound."""
-        sound = 0
+        """Apply all lines; return the number of bytes up to the end of the last complete one."""
+        valid_bytes = 0
         lines = path.read_bytes().splitlines(keepends=True)
         for number, line in enumerate(lines, 1):
             try:
                 if not line.endswith(b"\n"):
-                    raise ValueError("cut off")
-                self._take(json.loads(line))
+                    raise ValueError("incomplete line")
+                self._apply(json.loads(line))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 if number == len(lines):
-                    break  # the last write was cut off: it was never answered
+                    break  # an interrupted write, which was never acknowledged
                 raise JournalError(f"{path.name}: line {number}: {error}") from None
-            sound += len(line)
-        return sound
+            valid_bytes += len(line)
+        return valid_bytes
 
-    def _take(self, record: dict[str, Any]) -> None:
+    def _apply(self, record: dict[str, Any]) -> None:
         if "vote" in record:
-            self.term, self.vote = int(record["term"]), str(record["vote"])
+            self.term, self.voted_for = int(record["term"]), str(record["vote"])
         elif "base" in record:
-            self.base, self.base_term = int(record["base"]), int(record["base_term"])
+            self.snapshot_index, self.snapshot_term = int(record["base"]), int(record["base_term"])
             self.values = {str(k): str(v) for k, v in record["values"].items()}
             self.entries = []
         else:
-            at = int(record["at"]) - self.base
-            if at < 0:
-                raise ValueError("an entry that the snapshot holds")
-            self.entries[at:] = [(int(t), str(k), str(v)) for t, k, v in record["entries"]]
+            offset = int(record["at"]) - self.snapshot_index
+            if offset < 0:
+                raise ValueError("an entry that the snapshot already contains")
+            self.entries[offset:] = [(int(t), str(k), str(v)) for t, k, v in record["entries"]]
 
     def _write(self, record: dict[str, Any]) -> None:
-        """OSError: it is not kept, and ``failed`` from then on."""
+        """Write and apply a record.
+
+        Raises:
+            OSError: if it could not be synced to disk; ``failed`` is set from then on.
+        """
         if self._file is not None:
             try:
-                self._file.write(_line(record))
+                self._file.write(_to_line(record))
                 self._file.flush()
                 os.fsync(self._file.fileno())
             except (OSError, ValueError) as error:
-                self.failed = True  # what the disk has now nobody knows: after a failed sync it may say yes to the next
+                # What is on disk is unknown now: after a failed fsync the next one may succeed without writing.
+                self.failed = True
                 raise OSError(f"journal: {error}") from None
-        self._take(record)
-
-    def promise(self, term: int, vote: str) -> None:
-        self._write({"term": term, "vote": vote})
-
-    def put(self, at: int, entries: Sequence[Entry]) -> None:
-        """Writes entries from this place on; what stood there and after is gone."""
-        self._write({"at": at, "entries": list(entries)})
-
-    def fold(self, base: int, base_term: int, values: Mapping[str, str]) -> None:
-        """The state after ``base`` entries takes their place; later ones stay where they follow on it."""
-        keep = self.entries[base - self.base :] if base >= self.base and self.term_at(base) == base_term else []
+        self._apply(record)
+
+    def save_vote(self, term: int, voted_for: str) -> None:
+        """Enter a term, with the candidate that was voted for or an empty name.
+
+        Raises:
+            OSError: if it could not be written.
+        """
+        self._write({"term": term, "vote": voted_for})
+
+    def write_entries(self, prev_index: int, entries: Sequence[Entry]) -> None:
+        """Put entries after the index ``prev_index``, in place of all entries after it.
+
+        Raises:
+            OSError: if they could not be written.
+        """
+        self._write({"at": prev_index, "entries": list(entries)})
+
+    def save_snapshot(self, snapshot_index: int, snapshot_term: int, values: Mapping[str, str]) -> None:
+        """Replace the log up to ``snapshot_index`` by the values; keep later entries if they follow on it.
+
+        Raises:
+            OSError: if it could not be written.
+        """
+        kept = (
+            self.entries[snapshot_index - self.snapshot_index :]
+            if snapshot_index >= self.snapshot_index and self.term_at(snapshot_index) == snapshot_term
+            else []
+        )
         records: list[dict[str, Any]] = [
-            {"base": base, "base_term": base_term, "values": dict(values)},
-            {"term": self.term, "vote": self.vote},
-            {"at": base, "entries": keep},
+            {"base": snapshot_index, "base_term": snapshot_term, "values": dict(values)},
+            {"term": self.term, "vote": self.voted_for},
+            {"at": snapshot_index, "entries": kept},
         ]
         if self._file is not None and self._path is not None:
-            self._anew(self._path, records)
+            self._replace_file(self._path, records)
         for record in records:
-            self._take(record)
+            self._apply(record)
 
-    def _anew(self, path: Path, records: list[dict[str, Any]]) -> None:
-        beside = path.with_name(path.name + ".new")
+    def _replace_file(self, path: Path, records: list[dict[str, Any]]) -> None:
+        new_path = path.with_name(path.name + ".new")
         try:
-            made = beside.open("wb")
-            fcntl.flock(made, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            made.write(b"".join(_line(record) for record in records))
-            made.flush()
-            os.fsync(made.fileno())
-            os.rename(beside, path)
-            folder = os.open(path.parent, os.O_RDONLY)
+            new_file = new_path.open("wb")
+            fcntl.flock(new_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            new_file.write(b"".join(_to_line(record) for record in records))
+            new_file.flush()
+            os.fsync(new_file.fileno())
+            os.rename(new_path, path)
+            directory = os.open(path.parent, os.O_RDONLY)
             try:
-                os.fsync(folder)
+                os.fsync(directory)
             finally:
-                os.close(folder)
+                os.close(directory)
         except OSError as error:
             self.failed = True
             raise OSError(f"journal: {error}") from None
         if self._file is not None:
             self._file.close()
-        self._file = made
+        self._file = new_file
 
-    def last(self) -> tuple[int, int]:
-        """Number and term of the last entry."""
-        return self.base + len(self.entries), self.entries[-1][0] if self.entries else self.base_term
+    def last_index_and_term(self) -> tuple[int, int]:
+        """Return index and term of the last entry."""
+        return self.snapshot_index + len(self.entries), self.entries[-1][0] if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int | None:
-        """None where no such entry is known, or no longer."""
-        if index == self.base:
-            return self.base_term
-        return self.entries[index - self.base - 1][0] if self.base < index <= self.base + len(self.entries) else None
-
-    def since(self, index: int) -> list[Entry]:
-        """All after the entry of this number."""
-        return self.entries[index - self.base :]
+        """Return the term of an entry, or None if it does not exist or is only contained in the snapshot."""
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        return (
+            self.entries[index - self.snapshot_index - 1][0]
+            if self.snapshot_index < index <= self.snapshot_index + len(self.entries)
+            else None
+        )
+
+    def entries_after(self, index: int) -> list[Entry]:
+        """Return all entries after this index, which must not be below ``snapshot_index``."""
+        return self.entries[index - self.snapshot_index :]
 
     def close(self) -> None:
+        """Close the file and release its lock."""
         if self._file is not None:
             self._file.close()
 
 
-def _line(record: dict[str, Any]) -> bytes:
+def _to_line(record: dict[str, Any]) -> bytes:
     return json.dumps(record, separators=(",", ":")).encode() + b"\n"
--- a/bramblestile/store/replica.py
+++ b/bramblestile/store/replica.py
@@ -1,12 +1,12 @@
-"""The agreement of a few peers on a log of keys and values, without sockets and without a clock.
+"""Consensus of a few peers on a log of keys and values, without sockets and without a clock.
 
-Raft (Ongaro 2014): election, replication, commit by majority in the leader's own term; with pre-vote (9.6),
-check-quorum and leases by the leader's clock (6.4.1), the lead handed over (3.10), and snapshots that are sent in
-chunks (7). Peers are fixed; all others ask.
+Raft (Ongaro 2014): election, replication, and commit by a majority in the leader's own term; with pre-vote (9.6), check
+quorum and leader leases (6.4.1), leadership transfer (3.10), and snapshots that are sent in chunks (7). The peers are
+fixed; all other processes are clients.
 
-Guaranteed: what is committed stays; at most one leader a term; ``leads(at)`` is true at one peer at a time, as long as
-no clock runs more than ``DRIFT`` fast against another. For that a peer that has heard a leader, or has just started,
-helps nobody else to lead for ``ELECTION``.
+Guaranteed: a committed entry is never lost; each term has at most one leader; ``holds_lease`` is true for at most one
+peer at a time, as long as no clock runs faster than another by more than ``MAX_CLOCK_DRIFT``. For that reason a peer
+that has heard from a leader, or has just started, does not vote for another one within the election timeout.
 """
 
 from __future__ import annotations
@@ -21,62 +21,82 @@
 from bramblestile.clock import MICROSECOND
 from bramblestile.store.journal import Entry, Journal
 
-HEARTBEAT = timedelta(milliseconds=100)
-ELECTION = timedelta(milliseconds=400)  # to twice this without a leader, a peer stands for election
-DRIFT = 0.05  # a clock's fault over such a span; quartz has a thousandth of it
-MOST_ENTRIES = 64  # in one message
-LONGEST_KEY, LONGEST_VALUE = 200, 2000  # bytes, so that a message of entries stays small
-FOLD_AT = 512  # entries in the log before they become a snapshot
-ROOM = 1 << 17  # bytes of entries, or of a snapshot's chunk, in one message
+HEARTBEAT_INTERVAL = timedelta(milliseconds=100)
+ELECTION_TIMEOUT = timedelta(milliseconds=400)  # minimum; each timeout is drawn from one to two times this
+MAX_CLOCK_DRIFT = 0.05  # relative, over an election timeout; a quartz clock drifts by a thousandth of it
+MAX_ENTRIES_PER_MESSAGE = 64
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 200, 2000  # keep messages with entries small
+COMPACTION_THRESHOLD = 512  # committed entries in the log before they are replaced by a snapshot
+MAX_BATCH_BYTES = 1 << 17  # of entries or of a snapshot chunk in one message
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message between peers. Which fields count depends on the kind."""
+    """One message between peers; which fields are used depends on ``kind``.
 
-    kind: str  # would, ask, vote, append, appended, install, installed, now
+    Field names and kinds are sent as they are. The kinds, with the names that Raft gives them:
+
+    - ``would``: pre-vote request; ``ask``: RequestVote; ``vote``: the response to both
+    - ``append``: AppendEntries; ``appended``: its response
+    - ``install``: InstallSnapshot, one chunk; ``installed``: its response
+    - ``now``: TimeoutNow, which makes the receiver start an election at once
+    """
+
+    kind: str
     term: int
     sender: str
-    index: int = 0  # of the last entry (ask), the entry before these (append), the last to agree (appended)
+    # The candidate's last entry (would, ask), the entry before these (append), the last one that agrees (appended), or
+    # the last one in the snapshot (install, installed).
+    index: int = 0
     index_term: int = 0
-    granted: bool = False  # ask: the leader itself has handed over, nobody needs to wait until its lease has run out
+    # Success; the last chunk (install); the leader has transferred leadership and has no lease any more (ask).
+    granted: bool = False
     entries: tuple[Entry, ...] = ()
+    # The commit index (append), an offset in the snapshot's text (install, installed), or 1 for a pre-vote (vote).
     commit: int = 0
-    stamp: int = 0  # the leader's time of sending, in microseconds, given back by the answer
-    chunk: str = ""  # of a snapshot (install), from place ``commit`` of it on; ``granted``: the last one
+    stamp: int = 0  # the leader's time of sending in microseconds, returned in the response
+    chunk: str = ""  # of a snapshot's text
 
     def to_json(self) -> dict[str, Any]:
+        """Return the fields as a JSON object."""
         return asdict(self)
 
     @classmethod
-    def from_json(cls, got: dict[str, Any]) -> Message:
-        """ValueError when it is no message."""
+    def from_json(cls, fields: dict[str, Any]) -> Message:
+        """Read a message from a JSON object.
+
+        Raises:
+            ValueError: if it is no valid message.
+        """
         try:
-            entries = tuple((int(t), str(k), str(v)) for t, k, v in got.get("entries", ()))
+            entries = tuple((int(t), str(k), str(v)) for t, k, v in fields.get("entries", ()))
             return cls(
-                str(got["kind"]),
-                int(got["term"]),
-                str(got["sender"]),
-                int(got.get("index", 0)),
-                int(got.get("index_term", 0)),
-                got.get("granted") is True,
+                str(fields["kind"]),
+                int(fields["term"]),
+                str(fields["sender"]),
+                int(fields.get("index", 0)),
+                int(fields.get("index_term", 0)),
+                fields.get("granted") is True,
                 entries,
-                int(got.get("commit", 0)),
-                int(got.get("stamp", 0)),
-                str(got.get("chunk", "")),
+                int(fields.get("commit", 0)),
+                int(fields.get("stamp", 0)),
+                str(fields.get("chunk", "")),
             )
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a message: {error!r}") from None
 
 
-Mail = list[tuple[str, Message]]
+Outbox = list[tuple[str, Message]]
 
 
 class Replica:
-    """One peer. Every call returns the messages to send; entries are counted from 1. ``values`` is the state after
-    ``applied`` of them; ``news`` what was applied and not yet taken, in order. An empty value takes its key away.
-    ``room``: bytes that one message may carry of entries; ``election``: without a leader for one to two of these a
-    peer stands."""
+    """One peer of the group. Each call returns the messages to send, as pairs of receiver and message.
+
+    Log indexes count from 1. ``values`` is the state after ``last_applied`` entries; an empty value removes its key.
+    ``changes`` holds the applied keys and values in order, until the caller takes them. ``max_batch_bytes`` limits the
+    entries in one message. A peer that hears from no leader for one to two times ``election_timeout`` starts an
+    election. ``role`` is ``follower``, ``asking`` (a pre-candidate), ``candidate`` or ``leader``.
+    """
 
     def __init__(
         self,
@@ -84,350 +104,403 @@
         peers: Sequence[str],
         journal: Journal,
         random: Random,
-        at: timedelta,
-        room: int = ROOM,
-        election: timedelta = ELECTION,
+        now: timedelta,
+        max_batch_bytes: int = MAX_BATCH_BYTES,
+        election_timeout: timedelta = ELECTION_TIMEOUT,
     ) -> None:
         self.name = name
-        self.election, self.lease = election, election * (1 - DRIFT)
-        self.others = [peer for peer in peers if peer != name]
+        self.election_timeout, self.lease_duration = election_timeout, election_timeout * (1 - MAX_CLOCK_DRIFT)
+        self.other_peers = [peer for peer in peers if peer != name]
         self.journal = journal
         self.random = random
-        self.room = room
+        self.max_batch_bytes = max_batch_bytes
         self.role = "follower"
         self.leader = ""
-        self.commit = self.applied = journal.base
+        self.commit_index = self.last_applied = journal.snapshot_index
         self.values = dict(journal.values)
-        self.news: list[tuple[str, str]] = [(k, v) for k, v in self.values.items()]
+        self.changes: list[tuple[str, str]] = [(k, v) for k, v in self.values.items()]
         self.votes: set[str] = set()
-        self.next: dict[str, int] = {}
-        self.match: dict[str, int] = {}
-        self.heard: dict[str, timedelta] = {}  # as leader: the sending that each peer has answered last
-        self.due = at + self._patience()
-        self._followed = at  # a leader was heard, or may have been just before the start
-        self._since = at  # as leader: from when on
-        self._sending: dict[str, tuple[int, int]] = {}  # snapshot that a peer is sent: its number, and how much it has
-        self._taking: tuple[int, int, str] = (0, 0, "")  # snapshot that we are sent: number, term, text so far
+        self.next_index: dict[str, int] = {}
+        self.match_index: dict[str, int] = {}
+        self.last_acked: dict[str, timedelta] = {}  # as leader: when the last message that a peer has acked was sent
+        self.timer_at = now + self._random_election_timeout()  # of the next heartbeat or election
+        self._leader_contact_at = now  # a leader may have been heard from just before the start
+        self._leader_since = now
+        self._outgoing_snapshots: dict[str, tuple[int, int]] = {}  # by peer: its index, and the length that is acked
+        self._incoming_snapshot: tuple[int, int, str] = (0, 0, "")  # index, term, and the text received so far
 
-    def _patience(self) -> timedelta:
-        return self.election * (1 + self.random.random())
+    def _random_election_timeout(self) -> timedelta:
+        return self.election_timeout * (1 + self.random.random())
 
-    def _majority(self, count: int) -> bool:
-        return 2 * count > len(self.others) + 1
+    def _is_majority(self, count: int) -> bool:
+        return 2 * count > len(self.other_peers) + 1
 
     @property
     def term(self) -> int:
+        """The current term."""
         return self.journal.term
 
-    def _last(self) -> tuple[int, int]:
-        return self.journal.last()
+    def _last_index_and_term(self) -> tuple[int, int]:
+        return self.journal.last_index_and_term()
 
-    # Leading.
+    # Leadership.
 
-    def _answered(self, at: timedelta) -> timedelta:
-        """The latest time at which a majority was sent what it has answered since: for ``election`` from then on none
-        of it helps another to lead."""
-        times = sorted([at, *self.heard.values()], reverse=True)
-        most = (len(self.others) + 1) // 2 + 1
-        return times[most - 1] if len(times) >= most else self._since - self.election
+    def _quorum_contact_at(self, now: timedelta) -> timedelta:
+        """Return the latest time of sending that a majority has acked since.
 
-    def leads(self, at: timedelta) -> bool:
-        """Nobody else does, at this moment."""
-        return self.role == "leader" and (not self.others or at < self._answered(at) + self.lease)
+        For the election timeout from then on, no peer of that majority votes for another leader.
+        """
+        times = sorted([now, *self.last_acked.values()], reverse=True)
+        majority = (len(self.other_peers) + 1) // 2 + 1
+        return times[majority - 1] if len(times) >= majority else self._leader_since - self.election_timeout
 
-    def leads_and_knows(self, at: timedelta) -> bool:
-        """And all that any leader before has committed is applied here."""
-        return self.leads(at) and self.applied == self.commit and self.journal.term_at(self.commit) == self.term
+    def holds_lease(self, now: timedelta) -> bool:
+        """Return whether this peer leads and no other one can at this moment."""
+        return self.role == "leader" and (
+            not self.other_peers or now < self._quorum_contact_at(now) + self.lease_duration
+        )
 
-    def tick(self, at: timedelta) -> Mail:
-        if self.role == "leader" and self.others and at >= max(self._answered(at), self._since) + 2 * self.election:
-            self._follow("", at)  # no majority hears us: who asks us must go elsewhere
-        if at < self.due or self.journal.failed:
+    def is_active_leader(self, now: timedelta) -> bool:
+        """Return whether this peer holds the lease and has applied all entries that earlier leaders committed."""
+        return (
+            self.holds_lease(now)
+            and self.last_applied == self.commit_index
+            and self.journal.term_at(self.commit_index) == self.term
+        )
+
+    def tick(self, now: timedelta) -> Outbox:
+        """Do what is due: send heartbeats, start an election, or step down."""
+        if (
+            self.role == "leader"
+            and self.other_peers
+            and now >= max(self._quorum_contact_at(now), self._leader_since) + 2 * self.election_timeout
+        ):
+            self._become_follower("", now)  # check quorum: no majority hears it, so clients must go elsewhere
+        if now < self.timer_at or self.journal.failed:
             return []
         if self.role == "leader":
-            self.due = at + HEARTBEAT
-            return [(peer, self._append(peer, at)) for peer in self.others]
-        return self._stand(at)
+            self.timer_at = now + HEARTBEAT_INTERVAL
+            return [(peer, self._append_message(peer, now)) for peer in self.other_peers]
+        return self._start_pre_vote(now)
 
-    def _stand(self, at: timedelta) -> Mail:
-        """First whether others would: one that comes back from a pause or a cut must not end a leader who serves."""
-        self.role, self.leader, self.due = "asking", "", at + self._patience()
+    def _start_pre_vote(self, now: timedelta) -> Outbox:
+        """Ask first whether others would vote: a peer that was paused or cut off must not depose a working leader."""
+        self.role, self.leader, self.timer_at = "asking", "", now + self._random_election_timeout()
         self.votes = {self.name}
-        if self._majority(1):
-            return self._campaign(at)
-        index, index_term = self._last()
-        return [(peer, Message("would", self.term + 1, self.name, index, index_term)) for peer in self.others]
-
-    def hand_over(self, at: timedelta) -> Mail:
-        """Leads no more from the return on, and asks a peer that lacks nothing to stand at once; [] where there is none
-        or something is not agreed on yet, and it leads on. Its lease has ended before any other may be asked for."""
-        end = self._last()[0]
+        if self._is_majority(1):
+            return self._start_election(now)
+        index, index_term = self._last_index_and_term()
+        return [(peer, Message("would", self.term + 1, self.name, index, index_term)) for peer in self.other_peers]
+
+    def transfer_leadership(self, now: timedelta) -> Outbox:
+        """Step down and make a peer with the complete log start an election at once.
+
+        Returns nothing and keeps leading if there is no such peer or not all entries are committed. Otherwise this peer
+        has given up its lease on return, before any other can be elected.
+        """
+        last_index = self._last_index_and_term()[0]
         ready = [
             peer
-            for peer in self.others
-            if self.match.get(peer) == end and at - self.heard.get(peer, self._since - self.election) < self.election
+            for peer in self.other_peers
+            if self.match_index.get(peer) == last_index
+            and now - self.last_acked.get(peer, self._leader_since - self.election_timeout) < self.election_timeout
         ]
-        if self.role != "leader" or self.commit != end or not ready:
+        if self.role != "leader" or self.commit_index != last_index or not ready:
             return []
-        peer = max(ready, key=lambda name: self.heard[name])
-        self._follow("", at)
+        peer = max(ready, key=lambda name: self.last_acked[name])
+        self._become_follower("", now)
         return [(peer, Message("now", self.term, self.name))]
 
-    def _campaign(self, at: timedelta, handed: bool = False) -> Mail:
-        if not self._promise(self.term + 1, self.name):
+    def _start_election(self, now: timedelta, transferred: bool = False) -> Outbox:
+        if not self._save_vote(self.term + 1, self.name):
             return []
-        self.role, self.due = "candidate", at + self._patience()
+        self.role, self.timer_at = "candidate", now + self._random_election_timeout()
         self.votes = {self.name}
-        if self._majority(1):
-            return self._lead(at)
-        index, index_term = self._last()
-        return [(peer, Message("ask", self.term, self.name, index, index_term, handed)) for peer in self.others]
-
-    def _lead(self, at: timedelta) -> Mail:
-        self.role, self.leader, self.due, self._since = "leader", self.name, at, at
-        end = self._last()[0]
-        self.next = dict.fromkeys(self.others, end + 1)
-        self.match = dict.fromkeys(self.others, 0)
-        self.heard, self._sending = {}, {}
-        # Entries of earlier terms are committed only with one of this term behind them.
-        if not self._put(end, [(self.term, "", "")]):
+        if self._is_majority(1):
+            return self._become_leader(now)
+        index, index_term = self._last_index_and_term()
+        return [
+            (peer, Message("ask", self.term, self.name, index, index_term, transferred)) for peer in self.other_peers
+        ]
+
+    def _become_leader(self, now: timedelta) -> Outbox:
+        self.role, self.leader, self.timer_at, self._leader_since = "leader", self.name, now, now
+        last_index = self._last_index_and_term()[0]
+        self.next_index = dict.fromkeys(self.other_peers, last_index + 1)
+        self.match_index = dict.fromkeys(self.other_peers, 0)
+        self.last_acked, self._outgoing_snapshots = {}, {}
+        # Entries of earlier terms are only committed together with a later one of this term.
+        if not self._write_entries(last_index, [(self.term, "", "")]):
             return []
-        self._count()
-        return self.tick(at)
+        self._advance_commit_index()
+        return self.tick(now)
 
-    def _follow(self, leader: str, at: timedelta) -> None:
-        self.role, self.leader, self.due = "follower", leader, at + self._patience()
+    def _become_follower(self, leader: str, now: timedelta) -> None:
+        self.role, self.leader, self.timer_at = "follower", leader, now + self._random_election_timeout()
 
-    def _append(self, peer: str, at: timedelta) -> Message:
-        stamp = at // MICROSECOND
-        before = self.next[peer] - 1
-        if before < self.journal.base:
-            return self._install(peer, stamp)
+    def _append_message(self, peer: str, now: timedelta) -> Message:
+        stamp = now // MICROSECOND
+        prev_index = self.next_index[peer] - 1
+        if prev_index < self.journal.snapshot_index:
+            return self._install_message(peer, stamp)
         entries: list[Entry] = []
-        room = self.room
-        for entry in self.journal.since(before)[:MOST_ENTRIES]:
-            room -= len(entry[1].encode()) + len(entry[2].encode()) + 24
-            if entries and room < 0:
+        free_bytes = self.max_batch_bytes
+        for entry in self.journal.entries_after(prev_index)[:MAX_ENTRIES_PER_MESSAGE]:
+            free_bytes -= len(entry[1].encode()) + len(entry[2].encode()) + 24
+            if entries and free_bytes < 0:
                 break
             entries.append(entry)
         return Message(
             "append",
             self.term,
             self.name,
-            before,
-            self.journal.term_at(before) or 0,
+            prev_index,
+            self.journal.term_at(prev_index) or 0,
             entries=tuple(entries),
-            commit=self.commit,
+            commit=self.commit_index,
             stamp=stamp,
         )
 
-    def _install(self, peer: str, stamp: int) -> Message:
-        """The next chunk of our snapshot; a newer one begins anew."""
-        number, done = self._sending.get(peer, (0, 0))
-        if number != self.journal.base:
-            number, done = self.journal.base, 0
-            self._sending[peer] = number, done
+    def _install_message(self, peer: str, stamp: int) -> Message:
+        """Return the next chunk of the snapshot; if there is a newer snapshot, its first chunk."""
+        index, offset = self._outgoing_snapshots.get(peer, (0, 0))
+        if index != self.journal.snapshot_index:
+            index, offset = self.journal.snapshot_index, 0
+            self._outgoing_snapshots[peer] = index, offset
         text = json.dumps(self.journal.values, sort_keys=True)
-        chunk = text[done : done + self.room // 2]  # a letter beyond ASCII is told as six
+        chunk = text[offset : offset + self.max_batch_bytes // 2]  # a non-ASCII character is escaped to six
         return Message(
             "install",
             self.term,
             self.name,
-            number,
-            self.journal.base_term,
-            granted=done + len(chunk) >= len(text),
-            commit=done,
+            index,
+            self.journal.snapshot_term,
+            granted=offset + len(chunk) >= len(text),
+            commit=offset,
             stamp=stamp,
             chunk=chunk,
         )
 
-    def propose(self, key: str, value: str, at: timedelta) -> tuple[int, Mail]:
-        """The entry's place, or 0 from one that does not lead, and the messages that spread it."""
-        if self.role != "leader" or not self._put(self._last()[0], [(self.term, key, value)]):
+    def propose(self, key: str, value: str, now: timedelta) -> tuple[int, Outbox]:
+        """Append an entry as leader; return its index, or 0 if this peer does not lead, and the messages to send."""
+        if self.role != "leader" or not self._write_entries(self._last_index_and_term()[0], [(self.term, key, value)]):
             return 0, []
-        self._count()
-        self.due = at
-        return self._last()[0], self.tick(at)
+        self._advance_commit_index()
+        self.timer_at = now
+        return self._last_index_and_term()[0], self.tick(now)
 
-    # The disk: what it does not take is not promised.
+    # Writes to the journal. After a failed one this peer follows, and neither votes nor acknowledges anything.
 
-    def _promise(self, term: int, vote: str) -> bool:
+    def _save_vote(self, term: int, voted_for: str) -> bool:
         try:
-            self.journal.promise(term, vote)
+            self.journal.save_vote(term, voted_for)
         except OSError:
             self.role, self.leader = "follower", ""
             return False
         return True
 
-    def _put(self, at: int, entries: Sequence[Entry]) -> bool:
+    def _write_entries(self, prev_index: int, entries: Sequence[Entry]) -> bool:
         try:
-            self.journal.put(at, entries)
+            self.journal.write_entries(prev_index, entries)
         except OSError:
             self.role, self.leader = "follower", ""
             return False
         return True
 
-    # What is heard.
+    # Received messages.
 
-    def receive(self, got: Message, at: timedelta) -> Mail:
-        if got.sender not in self.others or self.journal.failed:
+    def receive(self, message: Message, now: timedelta) -> Outbox:
+        """Handle a message from a peer; messages from others are ignored."""
+        if message.sender not in self.other_peers or self.journal.failed:
             return []
-        handed = got.kind == "ask" and got.granted
-        if got.kind in ("would", "ask") and not handed and at < self._followed + self.election:
-            return []  # a leader counts on it. And whoever did not hear it must not make us forget it
-        if got.kind == "would":
-            return self._on_would(got)
-        if got.term > self.term and got.kind != "vote":
-            if not self._promise(got.term, ""):
+        transferred = message.kind == "ask" and message.granted
+        if (
+            message.kind in ("would", "ask")
+            and not transferred
+            and now < self._leader_contact_at + self.election_timeout
+        ):
+            return []  # a leader's lease counts on this peer, and a candidate that is cut off must not depose it
+        if message.kind == "would":
+            return self._on_pre_vote_request(message)
+        if message.term > self.term and message.kind != "vote":
+            if not self._save_vote(message.term, ""):
                 return []
-            self._follow("", at)
+            self._become_follower("", now)
         handlers = {
-            "ask": self._on_ask,
-            "vote": self._on_vote,
+            "ask": self._on_vote_request,
+            "vote": self._on_vote_response,
             "append": self._on_append,
-            "appended": self._on_appended,
+            "appended": self._on_append_response,
             "install": self._on_install,
-            "installed": self._on_installed,
-            "now": self._on_now,
+            "installed": self._on_install_response,
+            "now": self._on_timeout_now,
         }
-        handler = handlers.get(got.kind)
-        return handler(got, at) if handler is not None else []
-
-    def _is_complete(self, got: Message) -> bool:
-        index, index_term = self._last()
-        return (got.index_term, got.index) >= (index_term, index)
-
-    def _on_would(self, got: Message) -> Mail:
-        granted = got.term > self.term and self._is_complete(got) and self.role != "leader"
-        return [(got.sender, Message("vote", got.term, self.name, granted=granted, commit=1))]
-
-    def _on_ask(self, got: Message, at: timedelta) -> Mail:
-        granted = got.term == self.term and self._is_complete(got) and self.journal.vote in ("", got.sender)
+        handler = handlers.get(message.kind)
+        return handler(message, now) if handler is not None else []
+
+    def _is_log_up_to_date(self, message: Message) -> bool:
+        """Return whether the candidate's log is at least as complete as this peer's."""
+        index, index_term = self._last_index_and_term()
+        return (message.index_term, message.index) >= (index_term, index)
+
+    def _on_pre_vote_request(self, message: Message) -> Outbox:
+        granted = message.term > self.term and self._is_log_up_to_date(message) and self.role != "leader"
+        return [(message.sender, Message("vote", message.term, self.name, granted=granted, commit=1))]
+
+    def _on_vote_request(self, message: Message, now: timedelta) -> Outbox:
+        granted = (
+            message.term == self.term
+            and self._is_log_up_to_date(message)
+            and self.journal.voted_for in ("", message.sender)
+        )
         if granted:
-            if not self._promise(self.term, got.sender):
+            if not self._save_vote(self.term, message.sender):
                 return []
-            self.due = at + self._patience()
-        return [(got.sender, Message("vote", self.term, self.name, granted=granted))]
-
-    def _on_now(self, got: Message, at: timedelta) -> Mail:
-        """Of a term that is over it is old mail, and who sent it may lead again."""
-        return self._campaign(at, handed=True) if got.term == self.term and self.role != "leader" else []
-
-    def _on_vote(self, got: Message, at: timedelta) -> Mail:
-        """``commit`` 1: to what we would do only."""
-        if not got.granted:
-            if got.term > self.term and not got.commit and self._promise(got.term, ""):
-                self._follow("", at)
+            self.timer_at = now + self._random_election_timeout()
+        return [(message.sender, Message("vote", self.term, self.name, granted=granted))]
+
+    def _on_timeout_now(self, message: Message, now: timedelta) -> Outbox:
+        """Start an election; ignored if the term is over, as its sender may lead again by then."""
+        return (
+            self._start_election(now, transferred=True) if message.term == self.term and self.role != "leader" else []
+        )
+
+    def _on_vote_response(self, message: Message, now: timedelta) -> Outbox:
+        """Count a vote; ``commit`` is 1 in the response to a pre-vote request."""
+        if not message.granted:
+            if message.term > self.term and not message.commit and self._save_vote(message.term, ""):
+                self._become_follower("", now)
             return []
-        if self.role != ("asking" if got.commit else "candidate") or got.term != self.term + got.commit:
+        if self.role != ("asking" if message.commit else "candidate") or message.term != self.term + message.commit:
             return []
-        self.votes.add(got.sender)
-        if not self._majority(len(self.votes)):
+        self.votes.add(message.sender)
+        if not self._is_majority(len(self.votes)):
             return []
-        return self._campaign(at) if got.commit else self._lead(at)
+        return self._start_election(now) if message.commit else self._become_leader(now)
 
-    def _on_append(self, got: Message, at: timedelta) -> Mail:
+    def _on_append(self, message: Message, now: timedelta) -> Outbox:
         journal = self.journal
         agrees = False
-        if got.term == self.term:
-            self._follow(got.sender, at)
-            self._followed = at
-            agrees = got.index < journal.base or journal.term_at(got.index) == got.index_term
+        if message.term == self.term:
+            self._become_follower(message.sender, now)
+            self._leader_contact_at = now
+            agrees = message.index < journal.snapshot_index or journal.term_at(message.index) == message.index_term
         if not agrees:
-            # The shortest log that can still agree, so that the leader steps back at once.
-            index = min(self._last()[0], max(0, got.index - 1))
-            # A sending of an earlier term tells nothing of now: found in simulation, where a leader that had started
-            # anew took a stamp of the process before, by another clock, for the latest and led beside another.
-            stamp = got.stamp if got.term == self.term else 0
-            return [(got.sender, Message("appended", self.term, self.name, index, stamp=stamp))]
-        for offset, entry in enumerate(got.entries):
-            place = got.index + offset + 1
-            if place > journal.base and journal.term_at(place) != entry[0]:
-                if not self._put(place - 1, got.entries[offset:]):
+            # The last index that may agree, so that the leader goes back in one step.
+            index = min(self._last_index_and_term()[0], max(0, message.index - 1))
+            # The stamp of an earlier term is not returned. In simulation, a restarted leader took a stamp of its
+            # previous process, from another clock, for a recent one and held its lease beside another leader.
+            stamp = message.stamp if message.term == self.term else 0
+            return [(message.sender, Message("appended", self.term, self.name, index, stamp=stamp))]
+        for offset, entry in enumerate(message.entries):
+            entry_index = message.index + offset + 1
+            if entry_index > journal.snapshot_index and journal.term_at(entry_index) != entry[0]:
+                if not self._write_entries(entry_index - 1, message.entries[offset:]):
                     return []
                 break
-        index = got.index + len(got.entries)
-        self._commit(min(got.commit, index))
-        return [(got.sender, Message("appended", self.term, self.name, index, granted=True, stamp=got.stamp))]
+        index = message.index + len(message.entries)
+        self._commit_through(min(message.commit, index))
+        return [(message.sender, Message("appended", self.term, self.name, index, granted=True, stamp=message.stamp))]
 
-    def _on_appended(self, got: Message, at: timedelta) -> Mail:
-        if self.role != "leader" or got.term != self.term:
+    def _on_append_response(self, message: Message, now: timedelta) -> Outbox:
+        if self.role != "leader" or message.term != self.term:
             return []
-        peer, end = got.sender, self._last()[0]
-        self.heard[peer] = max(got.stamp * MICROSECOND, self.heard.get(peer, self._since - self.election))
-        if got.granted:
-            self.match[peer] = max(self.match[peer], got.index)
-            self.next[peer] = self.match[peer] + 1
-            self._count()
+        peer, last_index = message.sender, self._last_index_and_term()[0]
+        self.last_acked[peer] = max(
+            message.stamp * MICROSECOND, self.last_acked.get(peer, self._leader_since - self.election_timeout)
+        )
+        if message.granted:
+            self.match_index[peer] = max(self.match_index[peer], message.index)
+            self.next_index[peer] = self.match_index[peer] + 1
+            self._advance_commit_index()
         else:
-            self.next[peer] = max(self.match[peer] + 1, min(self.next[peer] - 1, got.index + 1))
-        return [(peer, self._append(peer, at))] if self.next[peer] <= end or not got.granted else []
-
-    def _on_install(self, got: Message, at: timedelta) -> Mail:
-        if got.term != self.term:
-            return [(got.sender, Message("appended", self.term, self.name))]
-        self._follow(got.sender, at)
-        self._followed = at
-        number, term, text = self._taking
-        if (number, term) != (got.index, got.index_term) or got.commit < len(text):
-            text = text[: got.commit] if (number, term) == (got.index, got.index_term) else ""
-        if got.commit == len(text):
-            text += got.chunk
-        self._taking = got.index, got.index_term, text
-        if got.granted and got.commit + len(got.chunk) == len(text):
-            self._taking = 0, 0, ""
-            if got.index > self.commit and not self._take_snapshot(got.index, got.index_term, text):
+            self.next_index[peer] = max(self.match_index[peer] + 1, min(self.next_index[peer] - 1, message.index + 1))
+        return (
+            [(peer, self._append_message(peer, now))]
+            if self.next_index[peer] <= last_index or not message.granted
+            else []
+        )
+
+    def _on_install(self, message: Message, now: timedelta) -> Outbox:
+        if message.term != self.term:
+            return [(message.sender, Message("appended", self.term, self.name))]
+        self._become_follower(message.sender, now)
+        self._leader_contact_at = now
+        snapshot_index, term, text = self._incoming_snapshot
+        if (snapshot_index, term) != (message.index, message.index_term) or message.commit < len(text):
+            text = text[: message.commit] if (snapshot_index, term) == (message.index, message.index_term) else ""
+        if message.commit == len(text):
+            text += message.chunk
+        self._incoming_snapshot = message.index, message.index_term, text
+        if message.granted and message.commit + len(message.chunk) == len(text):
+            self._incoming_snapshot = 0, 0, ""
+            if message.index > self.commit_index and not self._restore_snapshot(
+                message.index, message.index_term, text
+            ):
                 return []
-            return [(got.sender, Message("installed", self.term, self.name, got.index, granted=True, stamp=got.stamp))]
-        return [(got.sender, Message("installed", self.term, self.name, got.index, commit=len(text), stamp=got.stamp))]
+            return [
+                (
+                    message.sender,
+                    Message("installed", self.term, self.name, message.index, granted=True, stamp=message.stamp),
+                )
+            ]
+        return [
+            (
+                message.sender,
+                Message("installed", self.term, self.name, message.index, commit=len(text), stamp=message.stamp),
+            )
+        ]
 
-    def _take_snapshot(self, index: int, term: int, text: str) -> bool:
+    def _restore_snapshot(self, index: int, term: int, text: str) -> bool:
         try:
             values = json.loads(text)
-            self.journal.fold(index, term, values)
+            self.journal.save_snapshot(index, term, values)
         except (ValueError, OSError):
             return False
-        gone = [(key, "") for key in self.values if key not in values]
+        removed = [(key, "") for key in self.values if key not in values]
         self.values = dict(values)
-        self.news += [*gone, *values.items()]
-        self.commit = self.applied = index
+        self.changes += [*removed, *values.items()]
+        self.commit_index = self.last_applied = index
         return True
 
-    def _on_installed(self, got: Message, at: timedelta) -> Mail:
-        if self.role != "leader" or got.term != self.term:
+    def _on_install_response(self, message: Message, now: timedelta) -> Outbox:
+        if self.role != "leader" or message.term != self.term:
             return []
-        peer = got.sender
-        self.heard[peer] = max(got.stamp * MICROSECOND, self.heard.get(peer, self._since - self.election))
-        if got.granted:
-            self.match[peer] = max(self.match[peer], got.index)
-            self.next[peer] = self.match[peer] + 1
-            self._sending.pop(peer, None)
-            self._count()
-        elif self._sending.get(peer, (0, 0))[0] == got.index:
-            self._sending[peer] = got.index, got.commit
-        return [(peer, self._append(peer, at))]
-
-    def _count(self) -> None:
-        """An entry of this term that a majority holds is committed, and all before it."""
-        for place in range(self._last()[0], self.commit, -1):
-            held = 1 + sum(match >= place for match in self.match.values())
-            if self._majority(held) and self.journal.term_at(place) == self.term:
-                self._commit(place)
+        peer = message.sender
+        self.last_acked[peer] = max(
+            message.stamp * MICROSECOND, self.last_acked.get(peer, self._leader_since - self.election_timeout)
+        )
+        if message.granted:
+            self.match_index[peer] = max(self.match_index[peer], message.index)
+            self.next_index[peer] = self.match_index[peer] + 1
+            self._outgoing_snapshots.pop(peer, None)
+            self._advance_commit_index()
+        elif self._outgoing_snapshots.get(peer, (0, 0))[0] == message.index:
+            self._outgoing_snapshots[peer] = message.index, message.commit
+        return [(peer, self._append_message(peer, now))]
+
+    def _advance_commit_index(self) -> None:
+        """Commit the last entry of this term that a majority holds, and all before it."""
+        for index in range(self._last_index_and_term()[0], self.commit_index, -1):
+            holders = 1 + sum(match_index >= index for match_index in self.match_index.values())
+            if self._is_majority(holders) and self.journal.term_at(index) == self.term:
+                self._commit_through(index)
                 return
 
-    def _commit(self, index: int) -> None:
-        if index <= self.commit:
+    def _commit_through(self, index: int) -> None:
+        """Commit and apply all entries up to this index, and compact the log if it has grown long."""
+        if index <= self.commit_index:
             return
-        self.commit = index
-        for _, key, value in self.journal.since(self.applied)[: index - self.applied]:
+        self.commit_index = index
+        for _, key, value in self.journal.entries_after(self.last_applied)[: index - self.last_applied]:
             if key:
                 self.values[key] = value
                 if not value:
                     del self.values[key]
-                self.news.append((key, value))
-        self.applied = index
-        if index - self.journal.base >= FOLD_AT:
+                self.changes.append((key, value))
+        self.last_applied = index
+        if index - self.journal.snapshot_index >= COMPACTION_THRESHOLD:
             try:
-                self.journal.fold(index, self.journal.term_at(index) or 0, self.values)
+                self.journal.save_snapshot(index, self.journal.term_at(index) or 0, self.values)
             except OSError:
                 self.role, self.leader = "follower", ""
--- a/bramblestile/store/service.py
+++ b/bramblestile/store/service.py
@@ -1,4 +1,4 @@
-"""A replica behind a lock, with its clock: the keys and values of what is committed."""
+"""The replicated store as other threads use it: a replica with a lock, a clock and a timer thread."""
 
 from __future__ import annotations
 
@@ -8,75 +8,94 @@
 from datetime import timedelta
 
 from bramblestile.clock import ZERO_DURATION, now
-from bramblestile.store.replica import HEARTBEAT, LONGEST_KEY, LONGEST_VALUE, Message, Replica
+from bramblestile.store.replica import HEARTBEAT_INTERVAL, MAX_KEY_BYTES, MAX_VALUE_BYTES, Message, Replica
 
 
 @dataclass(slots=True)
 class Store:
-    """A replica behind a lock, its clock, and the keys and values of what is committed."""
+    """A thread-safe replica with the committed keys and values.
+
+    ``on_applied`` is called with each committed key and value, in order and without the lock; an empty value means
+    that the key was removed.
+    """
 
     replica: Replica
     send: Callable[[str, Message], None]
-    applied: Callable[[str, str], None]  # each committed key and value, in order, outside the lock
+    on_applied: Callable[[str, str], None]
     values: dict[str, str] = field(default_factory=dict)
-    _news: threading.Condition = field(default_factory=threading.Condition)
-    _applying: threading.Lock = field(default_factory=threading.Lock)
+    _changed: threading.Condition = field(default_factory=threading.Condition)
+    _apply_lock: threading.Lock = field(default_factory=threading.Lock)
     _stopped: threading.Event = field(default_factory=threading.Event)
 
     def start(self) -> None:
+        """Start the timer thread."""
         threading.Thread(target=self._run, name="store", daemon=True).start()
 
     def stop(self) -> None:
+        """Stop sending and answering, and close the journal."""
         self._stopped.set()
-        with self._news:
+        with self._changed:
             self.replica.journal.close()
 
     def _run(self) -> None:
-        while not self._stopped.wait((HEARTBEAT / 4).total_seconds()):
-            with self._news:
-                out = [] if self._stopped.is_set() else self.replica.tick(now())
-            self._after(out)
-
-    def receive(self, got: Message) -> None:
-        with self._news:
-            out = [] if self._stopped.is_set() else self.replica.receive(got, now())
-        self._after(out)
-
-    def _after(self, out: list[tuple[str, Message]]) -> None:
-        for to, message in out:
+        while not self._stopped.wait((HEARTBEAT_INTERVAL / 4).total_seconds()):
+            with self._changed:
+                outbox = [] if self._stopped.is_set() else self.replica.tick(now())
+            self._dispatch(outbox)
+
+    def receive(self, message: Message) -> None:
+        """Handle a message from a peer."""
+        with self._changed:
+            outbox = [] if self._stopped.is_set() else self.replica.receive(message, now())
+        self._dispatch(outbox)
+
+    def _dispatch(self, outbox: list[tuple[str, Message]]) -> None:
+        """Send messages and report the changes that have been applied meanwhile."""
+        for to, message in outbox:
             self.send(to, message)
-        with self._applying:  # one thread at a time, so that the order holds
-            with self._news:
-                fresh, self.replica.news = self.replica.news, []
-                self.values = dict(self.replica.values) if fresh else self.values
-                self._news.notify_all()
-            for key, value in fresh:
-                self.applied(key, value)
-
-    def set(self, key: str, value: str, within: timedelta) -> bool:
-        """True once a majority holds it; False where this peer does not lead or none can be had in time.
-        False does not prove that it will not come to hold."""
-        if not 0 < len(key.encode()) <= LONGEST_KEY or len(value.encode()) > LONGEST_VALUE:
-            raise ValueError("key or value too long, or no key")
-        until = now() + within
-        with self._news:
-            place, out = (0, []) if self._stopped.is_set() else self.replica.propose(key, value, now())
+        with self._apply_lock:  # one thread at a time, to keep the order of changes
+            with self._changed:
+                new_changes, self.replica.changes = self.replica.changes, []
+                self.values = dict(self.replica.values) if new_changes else self.values
+                self._changed.notify_all()
+            for key, value in new_changes:
+                self.on_applied(key, value)
+
+    def set(self, key: str, value: str, timeout: timedelta) -> bool:
+        """Return True once the value is committed, False if this peer does not lead or the time is over.
+
+        After False the value may still be committed later.
+
+        Raises:
+            ValueError: if the key is empty, or the key or the value is too long.
+        """
+        if not 0 < len(key.encode()) <= MAX_KEY_BYTES or len(value.encode()) > MAX_VALUE_BYTES:
+            raise ValueError("the key is empty, or the key or the value is too long")
+        deadline = now() + timeout
+        with self._changed:
+            index, outbox = (0, []) if self._stopped.is_set() else self.replica.propose(key, value, now())
             term = self.replica.term
-        self._after(out)
-        with self._news:
-            while place and self.replica.commit < place and now() < until:
-                self._news.wait(max(until - now(), ZERO_DURATION).total_seconds())
-            # Folded into a snapshot its term is no longer known, and we still lead in that term: it is ours.
-            held = self.replica.journal.term_at(place)
-            return 0 < place <= self.replica.commit and term in (held, self.replica.term if held is None else None)
+        self._dispatch(outbox)
+        with self._changed:
+            while index and self.replica.commit_index < index and now() < deadline:
+                self._changed.wait(max(deadline - now(), ZERO_DURATION).total_seconds())
+            # If a snapshot contains the entry, its term is unknown; it is ours if this peer's term is still the same.
+            entry_term = self.replica.journal.term_at(index)
+            return 0 < index <= self.replica.commit_index and term in (
+                entry_term,
+                self.replica.term if entry_term is None else None,
+            )
 
     def is_stopped(self) -> bool:
+        """Return whether ``stop`` was called."""
         return self._stopped.is_set()
 
     def get(self, key: str) -> str | None:
-        with self._news:
+        """Return the value that this peer has applied, which may be older than the leader's."""
+        with self._changed:
             return self.values.get(key)
 
     def leader(self) -> str:
-        with self._news:
+        """Return the name of the current leader as this peer knows it, or an empty string."""
+        with self._changed:
             return self.replica.leader
--- a/bramblestile/work/scheduler.py
+++ b/bramblestile/work/scheduler.py
@@ -15,8 +15,8 @@
 - The balancer was not heard for longer than a lease and ``SILENCE_TIMEOUT``, has adopted this plan, and the machine is
   not in the fallback.
 
-Two clocks may drift apart by ``DRIFT``; their offsets do not matter. A lease ends at most
-``LEASE_DURATION * (1 + DRIFT)`` after it was requested. Leases of an earlier leader were requested before its
+Two clocks may drift apart by ``MAX_CLOCK_DRIFT``; their offsets do not matter. A lease ends at most
+``LEASE_DURATION * (1 + MAX_CLOCK_DRIFT)`` after it was requested. Leases of an earlier leader were requested before its
 leadership ended, which is before this one began.
 """
 
@@ -27,7 +27,7 @@
 from datetime import timedelta
 
 from bramblestile.clock import MICROSECOND
-from bramblestile.store.replica import DRIFT
+from bramblestile.store.replica import MAX_CLOCK_DRIFT
 from bramblestile.work import plan_state
 from bramblestile.work.messages import Poll, Reply
 from bramblestile.work.participant import LEASE_DURATION, MILLISECOND, POLL_INTERVAL, SILENCE_TIMEOUT
@@ -52,8 +52,8 @@
     next_announcement,
 )
 
-LEASE_EXPIRED_AFTER = LEASE_DURATION * (1 + 2 * DRIFT)  # since the last reply to a balancer
-SILENT_AFTER = (LEASE_DURATION + SILENCE_TIMEOUT) * (1 + 2 * DRIFT)  # since the last reply to a balancer
+LEASE_EXPIRED_AFTER = LEASE_DURATION * (1 + 2 * MAX_CLOCK_DRIFT)  # since the last reply to a balancer
+SILENT_AFTER = (LEASE_DURATION + SILENCE_TIMEOUT) * (1 + 2 * MAX_CLOCK_DRIFT)  # since the last reply to a balancer
 DRAIN_TIMEOUT = timedelta(seconds=10)  # after this a machine leaves with the connections that are still open
 RETURN_TIMEOUT = timedelta(seconds=120)  # from the end of the work until the machine is in service
 MAX_POLLS_PER_S = 400  # of all balancers together: some 40 ms of the leader's processor time
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -265,7 +265,7 @@
             if message.sender == sender:
                 self._send_to_voters(self.replica.receive(message, current_time))
                 self._log_changes()
-        elif self.replica.leads_and_knows(current_time):
+        elif self.replica.is_active_leader(current_time):
             self._answer_poll(message, self.replica, current_time)
         elif self.replica.leader not in ("", self.name) and not message.hops:
             self._gossip.send(self.replica.leader, messages.encode_message(msgspec.structs.replace(message, hops=1)))
@@ -360,14 +360,14 @@
 
     def _plan(self) -> PlanState:
         assert self.replica is not None
-        if self._plan_cache[0] != self.replica.applied:
-            self._plan_cache = self.replica.applied, load_state(self.replica.values)
+        if self._plan_cache[0] != self.replica.last_applied:
+            self._plan_cache = self.replica.last_applied, load_state(self.replica.values)
         return self._plan_cache[1]
 
     def _log_changes(self) -> None:
         assert self.replica is not None
-        news, self.replica.news = self.replica.news, []
-        for key, value in news:
+        changes, self.replica.changes = self.replica.changes, []
+        for key, value in changes:
             if (
                 key.startswith((plan_state.KEY_PREFIX + "m/", plan_state.KEY_PREFIX + "status"))
                 and value
@@ -378,14 +378,14 @@
     def _answer_poll(self, poll: Poll, replica: Replica, current_time: timedelta) -> None:
         plan = self._plan()
         self.scheduler.begin_term(replica.term, current_time)
-        self.scheduler.apply(plan, replica.applied, current_time)
-        reply, proposal = self.scheduler.handle_poll(poll, plan, replica.applied, current_time)
+        self.scheduler.apply(plan, replica.last_applied, current_time)
+        reply, proposal = self.scheduler.handle_poll(poll, plan, replica.last_applied, current_time)
         self._suspended_by_balancer[poll.name] = poll.suspended_hosts
         encoded = messages.encode_message(reply)
         if len(encoded) > messages.MAX_MESSAGE_BYTES:
             encoded = messages.encode_message(msgspec.structs.replace(reply, names=(), completed=()))
         self._gossip.send(poll.name, encoded)
-        if proposal is not None and replica.applied == replica.journal.last()[0]:
+        if proposal is not None and replica.last_applied == replica.journal.last_index_and_term()[0]:
             self._propose(replica, proposal, current_time)
 
     def _propose(self, replica: Replica, proposal: tuple[str, str], current_time: timedelta) -> None:
@@ -395,7 +395,7 @@
 
     def _lead(self, replica: Replica, current_time: timedelta) -> None:
         """Do the leader's work of one tick, if this balancer leads."""
-        was_leader, self._is_leader = self._is_leader, replica.leads_and_knows(current_time)
+        was_leader, self._is_leader = self._is_leader, replica.is_active_leader(current_time)
         if was_leader != self._is_leader:
             self._log.info("work", leads=self._is_leader, term=replica.term)
         if not self._is_leader:
@@ -403,7 +403,7 @@
             return
         plan, scheduler = self._plan(), self.scheduler
         scheduler.begin_term(replica.term, current_time)
-        scheduler.apply(plan, replica.applied, current_time)
+        scheduler.apply(plan, replica.last_applied, current_time)
         members = self._gossip.states()
         scheduler.departed = {name for name in plan.roster if members.get(name) is State.LEFT}
         scheduler.nonparticipants = {
@@ -418,7 +418,7 @@
         if plan.is_active and current_time >= self._probe_at:
             self._probe_at = current_time + PROBE_INTERVAL
             self._probe_loads()
-        if replica.applied != replica.journal.last()[0]:
+        if replica.last_applied != replica.journal.last_index_and_term()[0]:
             return  # an earlier proposal is not committed yet
         batch = [*self.scheduler.roster_updates(plan), *self._queued_entries][:MAX_PROPOSALS_AT_ONCE]
         for proposal in batch:  # they depend on one another only by their order in the log
@@ -432,7 +432,7 @@
             plan, self._candidates(plan.targets_balancers, plan, current_time), current_time
         ) or self._roster_cleanup(plan, members, current_time)
         if scheduler.should_step_down:
-            self._send_to_voters(replica.hand_over(current_time))
+            self._send_to_voters(replica.transfer_leadership(current_time))
         if next_step is not None:
             if next_step == plan_state.status_entry(plan.id, Status.ENDED):
                 self._queued_entries += plan_state.history_entries(plan, replica.values, current_time // MICROSECOND)
@@ -536,7 +536,7 @@
     def _process_calls(self, current_time: timedelta) -> None:
         while not self._submitted.empty():
             call = self._submitted.get()
-            if self.replica is None or not self.replica.leads_and_knows(current_time):
+            if self.replica is None or not self.replica.is_active_leader(current_time):
                 call.answer = 503, "there is no leader now; what is out stays out, nothing new leaves"
                 continue
             try:
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -341,7 +341,9 @@
 
 def commits_without_a_majority(patch: pytest.MonkeyPatch) -> None:
     """A leader commits what it has written itself."""
-    patch.setattr(Replica, "_count", lambda self: self._commit(self.journal.last()[0]))
+    patch.setattr(
+        Replica, "_advance_commit_index", lambda self: self._commit_through(self.journal.last_index_and_term()[0])
+    )
 
 
 def grants_a_lease_before_the_roster_entry(patch: pytest.MonkeyPatch) -> None:
