--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""The membership between processes of the program, with faults on the links between them."""
+"""Fleet membership between real processes, with faults on the links between them."""
 
 from __future__ import annotations
 
@@ -21,53 +21,57 @@
 
 @pytest.fixture
 def harness(tmp_path: Path) -> Iterator[FleetHarness]:
-    with FleetHarness(tmp_path / "stage", 7, fleet={}) as made:
-        made.start()
-        made.wait_for_agreement()
-        yield made
+    with FleetHarness(tmp_path / "stage", 7, fleet={}) as running:
+        running.start()
+        running.wait_for_agreement()
+        yield running
 
 
-def dead(harness: FleetHarness, but: str = "") -> list[tuple[str, str]]:
-    return [(e["who"], e["member"]) for e in harness.membership_events("dead") if e["member"] != but]
+def deaths(harness: FleetHarness, exclude: str = "") -> list[tuple[str, str]]:
+    """Return who has declared whom dead, without the deaths of ``exclude``."""
+    return [(e["who"], e["member"]) for e in harness.membership_events("dead") if e["member"] != exclude]
 
 
-def told_dead(harness: FleetHarness, member: str, since: float) -> None:
+def wait_until_dead(harness: FleetHarness, member: str, since: float) -> None:
+    """Wait until all other running processes have declared a member dead."""
     others = set(harness.running()) - {member}
     harness.wait(lambda: {e["who"] for e in harness.membership_events("dead", since, member)} >= others, 15 * S)
 
 
-def test_a_killed_one_is_known_to_all_and_its_restart_too(harness: FleetHarness) -> None:
-    began = harness.event_log.now()
+def test_a_killed_process_and_its_restart_are_detected_by_all(harness: FleetHarness) -> None:
+    started_at = harness.event_log.now()
     harness.processes["b004"].kill()
-    told_dead(harness, "b004", began)
+    wait_until_dead(harness, "b004", started_at)
     harness.processes["b004"].start()
     harness.wait_for_agreement()
-    assert not dead(harness, but="b004")
-    harness.processes["b005"].restart()  # within the time of suspicion: never dead to anybody
+    assert not deaths(harness, exclude="b004")
+    harness.processes["b005"].restart()  # within the suspicion timeout: nobody declares it dead
     harness.wait_for_agreement()
-    assert not dead(harness, but="b004")
+    assert not deaths(harness, exclude="b004")
 
 
-@pytest.mark.parametrize(("span", "dies"), [(0.4, False), (2.5, True), (10, True)])
-def test_one_that_is_paused_and_woken_takes_nobody_for_dead(harness: FleetHarness, span: float, dies: bool) -> None:
-    began = harness.event_log.now()
+@pytest.mark.parametrize(("pause_s", "dies"), [(0.4, False), (2.5, True), (10, True)])
+def test_a_process_that_resumes_after_a_pause_declares_nobody_dead(
+    harness: FleetHarness, pause_s: float, dies: bool
+) -> None:
+    started_at = harness.event_log.now()
     harness.processes["b003"].pause()
     if dies:
-        told_dead(harness, "b003", began)
-    harness.wait(lambda: harness.event_log.now() - began >= span, 20 * S)
+        wait_until_dead(harness, "b003", started_at)
+    harness.wait(lambda: harness.event_log.now() - started_at >= pause_s, 20 * S)
     harness.processes["b003"].resume()
-    woken = harness.event_log.now()
+    resumed_at = harness.event_log.now()
     harness.wait_for_agreement()
-    assert bool(harness.membership_events("dead", began, "b003")) is dies
-    assert not [e for e in harness.membership_events("dead", woken) if e["who"] == "b003"] and not dead(
-        harness, but="b003"
+    assert bool(harness.membership_events("dead", started_at, "b003")) is dies
+    assert not [e for e in harness.membership_events("dead", resumed_at) if e["who"] == "b003"] and not deaths(
+        harness, exclude="b003"
     )
 
 
-def test_a_split_is_seen_by_both_sides_and_heals(harness: FleetHarness) -> None:
-    few, many = harness.names[:3], harness.names[3:]
-    harness.inject_fault("split", Fault(partition(few), loss=1))
-    for side in (few, many):
+def test_both_sides_detect_a_partition_and_merge_again(harness: FleetHarness) -> None:
+    minority, majority = harness.names[:3], harness.names[3:]
+    harness.inject_fault("split", Fault(partition(minority), loss=1))
+    for side in (minority, majority):
         harness.wait_for_agreement(side)
     harness.remove_fault("split")
     harness.wait_for_agreement()
@@ -75,34 +79,34 @@
 
 @pytest.mark.parametrize("between", [outbound, inbound])
 def test_a_link_that_works_one_way(harness: FleetHarness, between: type) -> None:
-    """Cut off one way it is as good as dead to the others, and its word harms none of them."""
-    began = harness.event_log.now()
+    """A member that is cut off in one direction is declared dead, and its own accusations have no effect."""
+    started_at = harness.event_log.now()
     harness.inject_fault("one way", Fault(between(["b002"]), loss=1))
-    told_dead(harness, "b002", began)
+    wait_until_dead(harness, "b002", started_at)
     harness.remove_fault("one way")
     harness.wait_for_agreement()
-    assert not [d for d in dead(harness, but="b002") if d[0] != "b002"]
+    assert not [d for d in deaths(harness, exclude="b002") if d[0] != "b002"]
 
 
-def test_one_pair_that_cannot_hear_each_other(harness: FleetHarness) -> None:
-    began = harness.event_log.now()
+def test_a_cut_between_one_pair_causes_no_deaths(harness: FleetHarness) -> None:
+    started_at = harness.event_log.now()
     harness.inject_fault("pair", Fault(lambda a, b: {a, b} == {"b001", "b002"}, loss=1))
-    harness.wait(lambda: harness.event_log.now() - began > 5, 10 * S)
+    harness.wait(lambda: harness.event_log.now() - started_at > 5, 10 * S)
     harness.wait_for_agreement()
-    assert not dead(harness)
+    assert not deaths(harness)
 
 
-def test_loss_reordering_doubles_and_a_starved_member_kill_nobody(harness: FleetHarness) -> None:
-    began = harness.event_log.now()
+def test_loss_reordering_duplicates_and_a_member_short_of_cpu_cause_no_deaths(harness: FleetHarness) -> None:
+    started_at = harness.event_log.now()
     harness.inject_fault(
         "loss", Fault(every_link, loss=0.3, duplication=0.1, jitter=S / 50, reordering=0.05, reordering_delay=S / 10)
     )
     harness.processes["b006"].throttle(0.1)
-    harness.wait(lambda: harness.event_log.now() - began > 8, 15 * S)
+    harness.wait(lambda: harness.event_log.now() - started_at > 8, 15 * S)
     harness.processes["b006"].unthrottle()
     harness.remove_fault("loss")
     harness.wait_for_agreement()
-    assert not dead(harness)
+    assert not deaths(harness)
 
 
 def test_most_of_the_fleet_is_killed_at_once(harness: FleetHarness) -> None:
@@ -111,26 +115,26 @@
     harness.wait_for_agreement(harness.names[5:])
 
 
-def test_a_leaver_is_gone_without_a_doubt(harness: FleetHarness) -> None:
-    began = harness.event_log.now()
+def test_a_member_that_leaves_is_removed_without_suspicion(harness: FleetHarness) -> None:
+    started_at = harness.event_log.now()
     assert harness.processes["b006"].stop() == 0
-    harness.wait(lambda: len(harness.membership_events("left", began, "b006")) == 6, 5 * S)
+    harness.wait(lambda: len(harness.membership_events("left", started_at, "b006")) == 6, 5 * S)
     harness.wait_for_agreement()
-    assert not dead(harness)
+    assert not deaths(harness)
 
 
-def test_the_later_of_two_with_one_name_keeps_it(tmp_path: Path) -> None:
+def test_of_two_processes_with_one_name_the_later_keeps_it(tmp_path: Path) -> None:
     with FleetHarness(tmp_path / "stage", 6, fleet={}) as harness:
         namesake = harness.processes["b005"]
         namesake.config["fleet"]["name"] = "b004"
         harness.start(harness.names[:5])
         harness.wait_for_agreement(harness.names[:5])
         namesake.start()
-        at = "{}:{}".format(*harness.address("b005", 64, GOSSIP_PORT))
-        harness.wait(lambda: harness.fleet_view("b004").get("muted_by") == at, 10 * S)
+        endpoint = "{}:{}".format(*harness.address("b005", 64, GOSSIP_PORT))
+        harness.wait(lambda: harness.fleet_view("b004").get("muted_by") == endpoint, 10 * S)
         harness.wait(
             lambda: all(
-                row["at"] == at
+                row["at"] == endpoint
                 for name in harness.names[:4]
                 for row in harness.fleet_view(name)["members"]
                 if row["name"] == "b004"
@@ -141,19 +145,19 @@
         harness.wait_for_agreement(harness.names[:5])
 
 
-def test_a_flood_of_garbage_kills_nobody(harness: FleetHarness) -> None:
-    at = harness.address("b001", 0, GOSSIP_PORT)
-    began = harness.event_log.now()
+def test_a_flood_of_garbage_causes_no_deaths(harness: FleetHarness) -> None:
+    endpoint = harness.address("b001", 0, GOSSIP_PORT)
+    started_at = harness.event_log.now()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        while harness.event_log.now() - began < 3:  # bounded in time
+        while harness.event_log.now() - started_at < 3:  # bounded in time
             for _ in range(50):
-                sock.sendto(os.urandom(700), at)
-                sock.sendto(b"bf1" + os.urandom(700), at)
+                sock.sendto(os.urandom(700), endpoint)
+                sock.sendto(b"bf1" + os.urandom(700), endpoint)
     harness.wait_for_agreement()
-    assert not dead(harness)
+    assert not deaths(harness)
 
 
-def test_keys_change_in_service_and_a_stranger_is_not_heard(tmp_path: Path) -> None:
+def test_keys_are_rotated_in_service_and_a_member_without_the_key_is_ignored(tmp_path: Path) -> None:
     old, new = "6f" * 16, "6e" * 16
     key = tmp_path / "fleet.key"
     key.write_text(old)
@@ -172,27 +176,29 @@
         stranger = tmp_path / "other.key"
         stranger.write_text(old)
         harness.processes["b003"].config["fleet"]["key_file"] = str(stranger)
-        began = harness.event_log.now()
+        started_at = harness.event_log.now()
         harness.start(["b003"])
-        harness.wait(lambda: harness.event_log.now() - began > 3, 10 * S)
+        harness.wait(lambda: harness.event_log.now() - started_at > 3, 10 * S)
         harness.wait_for_agreement(harness.names[:3])
-        assert not dead(harness)
+        assert not deaths(harness)
 
 
 def test_the_command_shows_the_fleet(harness: FleetHarness) -> None:
-    at = "{}:{}".format(*harness.address("b002", 0, MANAGEMENT_PORT))
+    endpoint = "{}:{}".format(*harness.address("b002", 0, MANAGEMENT_PORT))
 
-    def shown(*more: str) -> subprocess.CompletedProcess[str]:
+    def run_show(*arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "bramblestile", "fleet", "--at", at, "show", *more],
+            [sys.executable, "-m", "bramblestile", "fleet", "--at", endpoint, "show", *arguments],
             capture_output=True,
             text=True,
             timeout=20,
             check=False,
         )
 
-    got = shown()
-    assert got.returncode == 0 and all(name in got.stdout for name in harness.names) and "7 alive" in got.stdout
+    result = run_show()
+    assert (
+        result.returncode == 0 and all(name in result.stdout for name in harness.names) and "7 alive" in result.stdout
+    )
     harness.processes["b002"].kill()
-    got = shown()
-    assert got.returncode == 1 and at in got.stderr and len(got.stderr.splitlines()) == 1
+    result = run_show()
+    assert result.returncode == 1 and endpoint in result.stderr and len(result.stderr.splitlines()) == 1
