--- a/bramblestile/lab/harness.py
+++ b/bramblestile/lab/harness.py
@@ -29,7 +29,7 @@
 SERVICE_PORT, MANAGEMENT_PORT, GOSSIP_PORT = 7000, 7001, 7002
 SERVER_PORT, LIST_PORT = 8000, 8500
 FIRST_OCTET, OCTET_COUNT = 64, 160  # second octets of harnesses: 127.64 to 127.223
-OWN_GROUP, PROXY_GROUP, LINK_GROUP = 0, 64, 128  # first third octets of a balancer's addresses by their use
+OWN_GROUP, PROXY_GROUP, LINK_GROUP = 0, 64, 128  # lowest third octet of the balancers' addresses, by use
 ADDRESSES_PER_OCTET = 250
 SEED_MEMBERS = 3  # of the gossip, the first ones
 MAX_CONCURRENT_STARTS = 12
@@ -198,7 +198,7 @@
         return config | self._config_overrides
 
     def _active_balancers(self) -> list[Address]:
-        """Return the balancers that a front-end load balancer would send to: those that run and are not paused."""
+        """Return the balancers that run and are not paused; a front-end load balancer would soon avoid the others."""
         return [
             self.address(name, OWN_GROUP, SERVICE_PORT)
             for name, process in self.processes.items()
--- a/bramblestile/lab/stand_ins.py
+++ b/bramblestile/lab/stand_ins.py
@@ -24,11 +24,11 @@
 from bramblestile.lab.streams import FaultyStream
 from bramblestile.sockets import Address
 
-MAX_LIST_QUEUE_S = 0.5  # of waiting for the discovery service, which answers 503 beyond
+MAX_LIST_QUEUE_S = 0.5  # the discovery service answers 503 when a request would wait longer
 CLIENT_SEND_INTERVAL_S = 2.0
 BACKOFF_RANGE_S = 0.06, 1.5  # until a client that was moved or cut reconnects
 CLIENT_TIMEOUT_S = 1.8
-RESPONSE_GRACE_S = 0.5  # beyond its deadline, which the balancer is told, a client waits for the answer
+RESPONSE_GRACE_S = 0.5  # how long a client waits for the answer beyond the deadline of its request
 CLIENT_GROUPS = 40
 LIST, CLIENTS = "list", "clients"  # names of the discovery service and the clients in faults on links
 FIRST_LINK_PORT = 10_000  # of the servers' addresses for single balancers
