--- a/benchmarks/work_order.py
+++ b/benchmarks/work_order.py
@@ -52,17 +52,17 @@
 def restart_at_interval(stand_ins: StandIns, interval_s: float) -> None:
     """Restart the servers as a script would: list each as draining, restart it a second later, and go on."""
 
-    def restart_server(name: str) -> None:
-        host = stand_ins.servers[name]
-        host.health = "terminating"
+    def restart_one(name: str) -> None:
+        server = stand_ins.servers[name]
+        server.health = "terminating"
         stand_ins.publish_list()
         time.sleep(1.0)
-        host.health = "in_service"
+        server.health = "in_service"
         stand_ins.run(stand_ins.restart_server(name, DOWNTIME_S))
 
     threads = []
     for name in stand_ins.servers:
-        threads.append(threading.Thread(target=restart_server, args=(name,)))
+        threads.append(threading.Thread(target=restart_one, args=(name,)))
         threads[-1].start()
         time.sleep(interval_s)
     for thread in threads:
--- a/bramblestile/lab/maintenance_driver.py
+++ b/bramblestile/lab/maintenance_driver.py
@@ -1,8 +1,8 @@
-"""Drives a plan on the stage as operators would: starts it, restarts each machine that is out, and reports it done.
+"""Drives a plan in the fleet harness as operators would: start it, restart each machine that is out, report it done.
 
 It also checks the fleet's guarantees: from the moment a machine is shown as out until it is taken down, no new
 connection may reach it, and no more machines than allowed are in progress. Violations are collected in ``violations``
-and in the record.
+and in the event log.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
         return answer
 
     def call_until_accepted(self, path: str, body: bytes = b"", timeout_s: float = 15) -> None:
-        """Repeat a call until it succeeds; raises FailedError if it is refused for good or after ``timeout_s``."""
+        """Repeat a call until it succeeds; raises HarnessError if it is refused for good or after ``timeout_s``."""
         deadline, answer = time.monotonic() + timeout_s, (0, "")
         while time.monotonic() < deadline:
             answer = self.call_once("PUT", path, body)
@@ -99,7 +99,7 @@
         self.wait(lambda: set(self.progress.get("roster", ())) >= set(self.harness.running()), 20)
 
     def wait(self, condition: Any, timeout_s: float) -> None:
-        """Wait until a condition holds; raises FailedError after ``timeout_s``."""
+        """Wait until a condition holds; raises HarnessError after ``timeout_s``."""
         self.harness.wait(
             condition, timedelta(seconds=timeout_s), lambda: f"{self.violations} {str(self.progress)[:1500]}"
         )
@@ -167,12 +167,12 @@
             self._stopped.wait(0.2)
 
     def _restart_server(self, name: str) -> None:
-        host, since = self.stand_ins.servers[name], time.time()
+        server, since = self.stand_ins.servers[name], time.time()
         self._stopped.wait(0.2)  # time for a balancer that would still send to do so
-        late = [t for t in host.request_times if t > since]
+        late = [t for t in server.request_times if t > since]
         if late:
             self._add_violation(f"{name} is out, and {len(late)} first lines came")
-        self.connections_cut += len(host.connections)
+        self.connections_cut += len(server.connections)
         self.stand_ins.run(self.stand_ins.restart_server(name, self.downtime_s))
 
 
--- a/bramblestile/lab/membership_simulation.py
+++ b/bramblestile/lab/membership_simulation.py
@@ -42,26 +42,26 @@
 
     Attributes:
         name: The member's name.
-        members: Its membership protocol.
+        membership: Its membership protocol.
         running: Whether it has not been killed.
         paused: Whether it is suspended.
         cpu_share: Its share of a core.
         phase: Where its part of each scheduling period begins.
         inbox: Datagrams in its socket buffer, each with the sender's address.
-        next_step_at: When its next step is planned; None: not planned.
+        planned_at: When its next step is planned; None: not planned.
         sent: Number of datagrams sent.
         sent_bytes: Bytes sent.
         received: Number of datagrams received.
     """
 
     name: str
-    members: Membership
+    membership: Membership
     running: bool = True
     paused: bool = False
     cpu_share: float = 1.0
     phase: timedelta = ZERO_DURATION
     inbox: deque[tuple[Address, Message]] = field(default_factory=deque)
-    next_step_at: timedelta | None = None
+    planned_at: timedelta | None = None
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
@@ -70,9 +70,9 @@
 class MembershipSimulation:
     """A network of simulated members."""
 
-    def __init__(self, seed: int, pace: ProtocolConfig | None = None) -> None:
+    def __init__(self, seed: int, config: ProtocolConfig | None = None) -> None:
         self.random = Random(f"network {seed}")
-        self.seed, self.pace = seed, pace or ProtocolConfig()
+        self.seed, self.config = seed, config or ProtocolConfig()
         self.now = timedelta(days=20_000)
         self.network = Network()
         self.processes: dict[Address, Process] = {}
@@ -86,18 +86,20 @@
     # Control.
 
     def start(
-        self, name: str, seeds: Iterable[str] = (), address: Address | None = None, life: int | None = None
+        self, name: str, seeds: Iterable[str] = (), address: Address | None = None, epoch: int | None = None
     ) -> Process:
         """Start a member; one of the same name at the same address replaces the process before."""
         self._starts += 1
         old = self.by_name.get(name)
-        own_address = address or (old.members.local.host, old.members.local.port) if old else address
+        own_address = address or (old.membership.local.host, old.membership.local.port) if old else address
         own_address = own_address or (f"127.9.{len(self.processes) >> 8}.{len(self.processes) & 255}", 7)
-        life = self.now // MICROSECOND << 11 | self._starts & 2047 if life is None else life
+        epoch = self.now // MICROSECOND << 11 | self._starts & 2047 if epoch is None else epoch
         random = Random(f"member {self.seed} {name} {self._starts}")
-        seed_addresses = [(p.members.local.host, p.members.local.port) for s in seeds if (p := self.by_name.get(s))]
+        seed_addresses = [
+            (p.membership.local.host, p.membership.local.port) for s in seeds if (p := self.by_name.get(s))
+        ]
         process = Process(
-            name, Membership(MemberRecord(name, *own_address, life), seed_addresses, random, self.now, self.pace)
+            name, Membership(MemberRecord(name, *own_address, epoch), seed_addresses, random, self.now, self.config)
         )
         process.phase = SCHEDULING_PERIOD * random.random()
         self.processes[own_address] = self.by_name[name] = process
@@ -144,14 +146,14 @@
         return time if into_period < SCHEDULING_PERIOD * process.cpu_share else time + SCHEDULING_PERIOD - into_period
 
     def _plan_step(self, process: Process) -> None:
-        due = self._runnable_at(process, max(self.now, process.members.next_step_at()))
-        if process.next_step_at is not None and process.next_step_at <= due and process.next_step_at > self.now:
+        next_step_at = self._runnable_at(process, max(self.now, process.membership.next_step_at()))
+        if process.planned_at is not None and process.planned_at <= next_step_at and process.planned_at > self.now:
             return
-        process.next_step_at = due
-        self.after(due - self.now, lambda: self._planned_step(process, due))
+        process.planned_at = next_step_at
+        self.after(next_step_at - self.now, lambda: self._planned_step(process, next_step_at))
 
     def _planned_step(self, process: Process, due: timedelta) -> None:
-        if process.next_step_at == due:
+        if process.planned_at == due:
             self._step(process)
 
     def _step(self, process: Process) -> None:
@@ -161,17 +163,17 @@
         if runnable_at > self.now:
             self._plan_step(process)
             return
-        members = process.members
+        membership = process.membership
         while process.inbox:
             source, message = process.inbox.popleft()
             process.received += 1
-            self._send(process, members.receive(message, source, self.now))
-        process.next_step_at = None
-        if members.next_step_at() <= self.now:
-            self._send(process, members.step(self.now))
-        if members.changes:
-            self.changes += [(self.now, process.name, change) for change in members.changes]
-            members.changes.clear()
+            self._send(process, membership.receive(message, source, self.now))
+        process.planned_at = None
+        if membership.next_step_at() <= self.now:
+            self._send(process, membership.step(self.now))
+        if membership.changes:
+            self.changes += [(self.now, process.name, change) for change in membership.changes]
+            membership.changes.clear()
         if self.watch is not None:
             self.watch(process)
         self._plan_step(process)
@@ -194,7 +196,7 @@
                     )
 
     def _deliver(self, process: Process, target: Process, message: Message, delay: timedelta) -> None:
-        source = process.members.local.host, process.members.local.port
+        source = process.membership.local.host, process.membership.local.port
 
         def arrive() -> None:
             if target.running and len(target.inbox) < BUFFER_DATAGRAMS:
@@ -205,21 +207,21 @@
 
     # Queries.
 
-    def living(self) -> list[Process]:
+    def live_processes(self) -> list[Process]:
         """Return the processes that run."""
         return [p for p in self.processes.values() if p.running]
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether every running process considers exactly the running ones alive."""
-        names = {p.name for p in self.living()}
-        return all({f.name for f in p.members.live_members()} == names for p in self.living())
+        names = {p.name for p in self.live_processes()}
+        return all({r.name for r in p.membership.live_members()} == names for p in self.live_processes())
 
-    def fleet(self, count: int, join_timeout: timedelta = timedelta(seconds=30)) -> list[str]:
+    def start_members(self, count: int, join_timeout: timedelta = timedelta(seconds=30)) -> list[str]:
         """Start ``count`` members and let them find each other; return their names."""
         names = [f"b{n:04}" for n in range(count)]
         for name in names:
             self.start(name, seeds=names[:3])
-        self.run(join_timeout, until=self._throttled(self.agreed))
+        self.run(join_timeout, until=self._throttled(self.has_converged))
         return names
 
     def _throttled(self, condition: Callable[[], bool]) -> Callable[[], bool]:
--- a/bramblestile/lab/random_faults.py
+++ b/bramblestile/lab/random_faults.py
@@ -29,9 +29,9 @@
 class RandomFaultRun:
     """One run. Two runs with the same seed are identical."""
 
-    def __init__(self, seed: int, min_size: int = 5, max_size: int = 30, pace: ProtocolConfig | None = None) -> None:
+    def __init__(self, seed: int, min_size: int = 5, max_size: int = 30, config: ProtocolConfig | None = None) -> None:
         self.random = Random(f"faults {seed}")
-        self.simulation = MembershipSimulation(seed, pace)
+        self.simulation = MembershipSimulation(seed, config)
         self.names = [f"b{n:03}" for n in range(self.random.randint(min_size, max_size))]
         self.fault_log: list[str] = []
         self._recency: dict[tuple[str, int, str], tuple[int, int]] = {}
@@ -45,7 +45,7 @@
         for name in self.names:
             simulation.start(name, seeds=self.names[:3])
         simulation.watch = self._check
-        if simulation.until(simulation.agreed, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
+        if simulation.until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
             raise InvariantError("the members did not find each other")
         simulation.network.loss_rate = self.random.choice((0.0, 0.02, 0.05))
         simulation.network.duplication_rate = self.random.choice((0.0, 0.05))
@@ -55,12 +55,12 @@
         simulation.run(SECOND * 10)  # the last faults end by themselves
         simulation.network.drop_rules.clear()
         simulation.network.loss_rate = 0.0
-        for process in simulation.living():
+        for process in simulation.live_processes():
             process.cpu_share = 1.0
-        if simulation.until(simulation.agreed, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
-            views = {p.name: len(p.members.live_members()) for p in simulation.living()}
+        if simulation.until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
+            views = {p.name: len(p.membership.live_members()) for p in simulation.live_processes()}
             raise InvariantError(
-                f"no agreement {RECOVERY_TIMEOUT} after the faults: {len(simulation.living())} run, "
+                f"no agreement {RECOVERY_TIMEOUT} after the faults: {len(simulation.live_processes())} run, "
                 f"members in each view: {views}; {self.fault_log}"
             )
 
@@ -75,7 +75,7 @@
 
     def _inject_fault(self) -> None:
         simulation, random = self.simulation, self.random
-        running = [p.name for p in simulation.living()]
+        running = [p.name for p in simulation.live_processes()]
         name = random.choice(running)
         duration = SECOND * random.choice((0.3, 0.5, 1, 2, 5, 8))
         kind = random.choice(FAULT_KINDS)
@@ -127,11 +127,11 @@
 
     def _check(self, process: Process) -> None:
         """Check the invariants of the process that has just made a step."""
-        members = process.members
-        if len(to_msgpack(members.local)) > MAX_MESSAGE_BYTES:
+        membership = process.membership
+        if len(to_msgpack(membership.local)) > MAX_MESSAGE_BYTES:
             raise InvariantError(f"{process.name}'s record is larger than a datagram")
-        for name, peer in members.peers.items():
-            key = process.name, members.local.epoch, name
+        for name, peer in membership.peers.items():
+            key = process.name, membership.local.epoch, name
             if peer.record.recency < self._recency.get(key, (0, 0)):
                 raise InvariantError(
                     f"{process.name}: the record of {name} went back to {peer.record.recency}; {self.fault_log}"
--- a/bramblestile/lab/streams.py
+++ b/bramblestile/lab/streams.py
@@ -37,9 +37,9 @@
 
     async def _cross(self, source: str, target: str) -> None:
         """Wait until bytes sent now have crossed the link."""
-        while not (delays := self._links.delivery_delays(source, target)):
+        while not (delivery_delays := self._links.delivery_delays(source, target)):
             await asyncio.sleep(RETRY_INTERVAL_S)
-        if delay := min(delays).total_seconds():
+        if delay := min(delivery_delays).total_seconds():
             await asyncio.sleep(delay)
 
     async def readline(self) -> bytes:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -38,8 +38,8 @@
 def start_fleet(count: int, seed: int = 1) -> tuple[MembershipSimulation, list[str]]:
     """Return a simulation whose members know each other, and their names."""
     sim = MembershipSimulation(seed)
-    names = sim.fleet(count)
-    assert sim.agreed()
+    names = sim.start_members(count)
+    assert sim.has_converged()
     sim.run(5 * S)
     sim.changes.clear()
     return sim, names
@@ -54,7 +54,7 @@
 def test_a_killed_member_is_detected_by_all_and_no_other_is_declared_dead(count: int) -> None:
     sim, names = start_fleet(count)
     sim.kill(names[3])
-    assert sim.until(sim.agreed, 5 * S) < 2.5 * S
+    assert sim.until(sim.has_converged, 5 * S) < 2.5 * S
     assert not deaths(sim, names[3])
 
 
@@ -64,7 +64,7 @@
     sim.pause(names[5], span * S)
     sim.run(span * S)
     assert bool(deaths(sim)) is dies
-    assert sim.until(sim.agreed, 10 * S) < S
+    assert sim.until(sim.has_converged, 10 * S) < S
     assert not deaths(sim, names[5])
 
 
@@ -83,7 +83,7 @@
     sim.run(20 * S)
     assert not [d for d in deaths(sim, names[5]) if d[0] != names[5]]
     sim.network.drop_rules.clear()
-    assert sim.until(sim.agreed, 20 * S) < 5 * S
+    assert sim.until(sim.has_converged, 20 * S) < 5 * S
 
 
 def test_a_one_way_link_is_bypassed_by_indirect_probes() -> None:
@@ -99,7 +99,7 @@
     sim.run(30 * S)
     assert not deaths(sim)
     sim.kill(names[7])
-    assert sim.until(sim.agreed, 10 * S) < 5 * S
+    assert sim.until(sim.has_converged, 10 * S) < 5 * S
 
 
 def test_each_side_of_a_partition_agrees_on_itself_and_both_merge_again() -> None:
@@ -108,11 +108,11 @@
     sim.network.drop_rules["split"] = lambda a, b: (a in half) != (b in half)
     sim.run(8 * S)
     assert all(
-        {r.name for r in p.members.live_members()} == (half if p.name in half else set(names) - half)
-        for p in sim.living()
+        {r.name for r in p.membership.live_members()} == (half if p.name in half else set(names) - half)
+        for p in sim.live_processes()
     )
     sim.network.drop_rules.clear()
-    assert sim.until(sim.agreed, 20 * S) < 5 * S
+    assert sim.until(sim.has_converged, 20 * S) < 5 * S
 
 
 def test_seventy_percent_of_the_fleet_killed_at_once() -> None:
@@ -123,28 +123,30 @@
     sim, names = start_fleet(30)
     for name in names[3:24]:
         sim.kill(name)
-    assert sim.until(sim.agreed, 30 * S) < 8 * S
+    assert sim.until(sim.has_converged, 30 * S) < 8 * S
 
 
 def test_a_restart_during_the_suspicion_replaces_the_previous_process() -> None:
     sim, names = start_fleet(12)
     sim.kill(names[4])
     sim.run(0.5 * S)
-    before = sim.by_name[names[4]].members.local.epoch
+    before = sim.by_name[names[4]].membership.local.epoch
     sim.start(names[4], seeds=names[:3])
-    assert sim.until(sim.agreed, 5 * S) < S
+    assert sim.until(sim.has_converged, 5 * S) < S
     sim.run(8 * S)
-    assert sim.agreed() and not deaths(sim)
-    assert all(r.epoch > before for p in sim.living() for r in p.members.live_members() if r.name == names[4])
+    assert sim.has_converged() and not deaths(sim)
+    assert all(
+        r.epoch > before for p in sim.live_processes() for r in p.membership.live_members() if r.name == names[4]
+    )
 
 
 def test_a_restart_with_a_clock_that_was_set_back() -> None:
     sim, names = start_fleet(12)
     sim.kill(names[4])
     sim.run(0.5 * S)
-    sim.start(names[4], seeds=names[:3], life=5)
+    sim.start(names[4], seeds=names[:3], epoch=5)
     sim.run(5 * S)
-    assert sim.agreed()
+    assert sim.has_converged()
 
 
 def test_of_two_processes_with_one_name_the_later_start_keeps_it() -> None:
@@ -152,20 +154,22 @@
     first = sim.by_name[names[4]]
     second = sim.start(names[4], seeds=names[:3], address=("127.9.9.9", 7))
     sim.run(10 * S)
-    assert first.members.name_holder is not None and second.members.name_holder is None
-    seen = {r.host for n in names if n != names[4] for r in sim.by_name[n].members.live_members() if r.name == names[4]}
+    assert first.membership.name_holder is not None and second.membership.name_holder is None
+    seen = {
+        r.host for n in names if n != names[4] for r in sim.by_name[n].membership.live_members() if r.name == names[4]
+    }
     assert seen == {"127.9.9.9"}
     second.running = False  # the first process learns that its name is free again, and takes it
     sim.run(20 * S)
-    assert first.members.name_holder is None and len(first.members.live_members()) == 8
+    assert first.membership.name_holder is None and len(first.membership.live_members()) == 8
 
 
 def test_a_member_that_leaves_is_removed_at_once() -> None:
     sim, names = start_fleet(20)
     process = sim.by_name[names[5]]
-    sim._send(process, process.members.leave(sim.now))
+    sim._send(process, process.membership.leave(sim.now))
     process.running = False
-    assert sim.until(sim.agreed, 5 * S) < 0.6 * S
+    assert sim.until(sim.has_converged, 5 * S) < 0.6 * S
     assert not deaths(sim)
 
 
@@ -173,7 +177,7 @@
     sim, names = start_fleet(5)
     for n in range(200):
         sim.start(f"x{n}", seeds=names[:3])
-    assert sim.until(sim.agreed, 20 * S) < 3 * S
+    assert sim.until(sim.has_converged, 20 * S) < 3 * S
 
 
 def test_traffic_per_member_does_not_grow_with_the_fleet() -> None:
@@ -181,30 +185,30 @@
     for count in (10, 80):
         sim, _ = start_fleet(count)
         sim.run(25 * S)
-        before = sum(p.sent_bytes for p in sim.living())
+        before = sum(p.sent_bytes for p in sim.live_processes())
         sim.run(10 * S)
-        bytes_per_member.append((sum(p.sent_bytes for p in sim.living()) - before) / count)
+        bytes_per_member.append((sum(p.sent_bytes for p in sim.live_processes()) - before) / count)
     assert bytes_per_member[1] < 1.2 * bytes_per_member[0]
 
 
 def test_entries_reach_all_members_and_end_by_expiry_or_with_their_owner() -> None:
     sim, names = start_fleet(20)
-    owner = sim.by_name[names[2]].members
+    owner = sim.by_name[names[2]].membership
     owner.publish("traffic", b"old", 60 * S, sim.now)
     owner.publish("traffic", b"7", 4 * S, sim.now)
     sim.run(2 * S)
-    assert {p.members.entry_table.get(names[2], "traffic", sim.now) for p in sim.living()} == {b"7"}
+    assert {p.membership.entry_table.get(names[2], "traffic", sim.now) for p in sim.live_processes()} == {b"7"}
     late = sim.start("late", seeds=names[:3])
     sim.run(S)
-    assert late.members.entry_table.get(names[2], "traffic", sim.now) == b"7"
+    assert late.membership.entry_table.get(names[2], "traffic", sim.now) == b"7"
     sim.run(2 * S)
-    assert {p.members.entry_table.get(names[2], "traffic", sim.now) for p in sim.living()} == {None}
+    assert {p.membership.entry_table.get(names[2], "traffic", sim.now) for p in sim.live_processes()} == {None}
     owner.publish("traffic", b"9", 60 * S, sim.now)
     sim.run(S)
     sim.kill(names[2])
     sim.start(names[2], seeds=names[:3])
     sim.run(3 * S)
-    assert {p.members.entry_table.get(names[2], "traffic", sim.now) for p in sim.living()} == {None}
+    assert {p.membership.entry_table.get(names[2], "traffic", sim.now) for p in sim.live_processes()} == {None}
 
 
 @pytest.mark.parametrize("seed", range(25))
@@ -367,7 +371,7 @@
 def test_members_that_are_all_slow_declare_nobody_dead() -> None:
     """Each of 40 members has a tenth of a core, all at the same time: late answers must not count as missing ones."""
     sim, _ = start_fleet(40)
-    for process in sim.living():
+    for process in sim.live_processes():
         process.cpu_share = 0.1
     sim.run(10 * S)  # until the round-trip estimates have adapted
     sim.changes.clear()
@@ -436,7 +440,7 @@
     shorter = msgspec.msgpack.encode(["p", ["n", "127.0.0.1", 7, 5]])
     assert from_msgpack(shorter) == Message("p", MemberRecord("n", "127.0.0.1", 7, 5))
     sim, names = start_fleet(3)
-    assert sim.by_name[names[0]].members.receive(Message("unheard-of", record), ("127.0.0.1", 7), sim.now) == []
+    assert sim.by_name[names[0]].membership.receive(Message("unheard-of", record), ("127.0.0.1", 7), sim.now) == []
 
 
 @given(st.binary(max_size=300))
--- a/tests/test_work_processes.py
+++ b/tests/test_work_processes.py
@@ -51,9 +51,14 @@
     harness, driver = running_fleet
     driver.start_plan()
     assert driver.final_counts(60) == {"done": 6}
-    figures = stand_ins_of(harness).client_totals()
-    assert (figures["cuts"], figures["refused"], figures["failed"], driver.connections_cut) == (0, 0, 0, 0)
-    assert figures["moves"] <= 1.6 * CLIENTS
+    client_totals = stand_ins_of(harness).client_totals()
+    assert (client_totals["cuts"], client_totals["refused"], client_totals["failed"], driver.connections_cut) == (
+        0,
+        0,
+        0,
+        0,
+    )
+    assert client_totals["moves"] <= 1.6 * CLIENTS
     status, answer = driver.call_once("GET", "/history")
     assert status == 200 and json.loads(answer)[0]["done"] == 6
 
@@ -295,8 +300,8 @@
     assert driver.final_counts(120) == {"done": 7} and all_restarted(harness, before)
     order = [name for _, name, reached in driver.reached if reached == "out"]
     assert set(order[-3:]) == {"@" + name for name in harness.voters} and order[-1] == "@" + first
-    figures = stand_ins_of(harness).client_totals()
-    assert (figures["cuts"], figures["failed"], figures["refused"]) == (0, 0, 0)
+    client_totals = stand_ins_of(harness).client_totals()
+    assert (client_totals["cuts"], client_totals["failed"], client_totals["refused"]) == (0, 0, 0)
 
 
 @pytest.mark.parametrize("machine_stage", ["leaving", "out"])
