--- a/benchmarks/tls_rotate.py
+++ b/benchmarks/tls_rotate.py
@@ -74,7 +74,7 @@
     with tempfile.TemporaryDirectory() as tls_folder, tempfile.TemporaryDirectory() as config_folder:
         folder = Path(tls_folder)
         rotation = Rotation(folder)
-        hosts = StubHosts(5, life=-1, tls=rotation.server_context)
+        hosts = StubHosts(5, lifetime_s=-1, tls=rotation.server_context)
         tls_config = {
             "ca": str(folder / "ca.pem"),
             "cert": str(folder / "client.pem"),
@@ -85,7 +85,7 @@
         def keep_connecting() -> None:
             seed = 1
             while not stopped.is_set():
-                results.update(run_load(daemon.address, 40, at_once=4, seed=(seed := seed + 1), stay=0.3))
+                results.update(run_load(daemon.address, 40, concurrency=4, seed=(seed := seed + 1), hold_s=0.3))
 
         try:
             with running_daemon(Path(config_folder), hosts, tls=tls_config) as daemon:
@@ -95,7 +95,12 @@
                     threading.Thread(
                         target=lambda: long_lived_results.update(
                             run_load(
-                                daemon.address, standing, at_once=standing, seed=99, stay=stay_s, within=stay_s + 20
+                                daemon.address,
+                                standing,
+                                concurrency=standing,
+                                seed=99,
+                                hold_s=stay_s,
+                                timeout_s=stay_s + 20,
                             )
                         )
                     ),
@@ -116,7 +121,7 @@
                     while daemon.counters().get("tls_files_taken", 0) == loaded:
                         time.sleep(0.1)
                     for host in hosts.names:
-                        hosts.on_loop(hosts.renew(host))
+                        hosts.run_on_loop(hosts.renew_certificate(host))
                     loaded = daemon.counters().get("tls_files_taken", 0)
                     rotation.renew_client_certificate()
                     while daemon.counters().get("tls_files_taken", 0) == loaded:
@@ -144,7 +149,7 @@
         f"{results['cut']} cut; handshakes {counters['tls_full']} full, {counters['tls_resumed']} resumed"
     )
     click.echo(
-        f"the untrusted host got {hosts.taken[UNTRUSTED_HOST]} requests; certificates refused: {refused}, "
+        f"the untrusted host got {hosts.served[UNTRUSTED_HOST]} requests; certificates refused: {refused}, "
         f"handshakes failed {counters.get('tls_failed', 0)}"
     )
 
--- a/benchmarks/tls_wave.py
+++ b/benchmarks/tls_wave.py
@@ -62,7 +62,7 @@
             context.num_tickets = 0
         return context
 
-    hosts = StubHosts(HOST_COUNT, life=connection_duration_s, tls=None if tls is None else server)
+    hosts = StubHosts(HOST_COUNT, lifetime_s=connection_duration_s, tls=None if tls is None else server)
     results: Counter[str] = Counter()
     tls_config = None if tls is None else {"ca": str(ca.file)} | tls
     try:
@@ -71,7 +71,7 @@
             running_daemon(Path(folder), hosts, tls=tls_config, settings=settings()) as daemon,
         ):
             load_thread = threading.Thread(
-                target=lambda: results.update(run_load(daemon.address, count, at_once, within=120))
+                target=lambda: results.update(run_load(daemon.address, count, at_once, timeout_s=120))
             )
             load_thread.start()
             time.sleep(WARM_UP_S)
@@ -80,7 +80,7 @@
             before_restart = daemon.counters()
             restarted_hosts = hosts.names[:restart]
             for name in restarted_hosts:
-                hosts.on_loop(hosts.restart(name))
+                hosts.run_on_loop(hosts.restart(name))
             restarted_at = time.monotonic()
             if list_shows_restart:
                 assert daemon.reload(known={"seq": 2, "hosts": hosts.entries()})["text"] == "done"
--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -37,7 +37,7 @@
 def cpu_per_request(program: DaemonProcess, requests: int, at_once: int, seed: int) -> float:
     """Return the microseconds of CPU per request."""
     before, _ = cpu_and_memory(program.process.pid)
-    answers = run_load(program.address, requests, at_once, seed, within=300)
+    answers = run_load(program.address, requests, at_once, seed, timeout_s=300)
     after, _ = cpu_and_memory(program.process.pid)
     assert answers["UP"] > 0.9 * requests, answers
     return (after - before) / requests * 1e6
@@ -46,7 +46,7 @@
 def memory_after_load(hosts: StubHosts, requests: int, at_once: int, trace_config: dict[str, Any] | None) -> float:
     """Return the resident megabytes of a new program after a load."""
     with tempfile.TemporaryDirectory() as folder, running_daemon(Path(folder), hosts, trace=trace_config) as program:
-        run_load(program.address, requests, at_once, within=300)
+        run_load(program.address, requests, at_once, timeout_s=300)
         return cpu_and_memory(program.process.pid)[1] / 1024
 
 
@@ -121,7 +121,7 @@
         os.sched_setaffinity(0, cores[-1:])
         with running_daemon(Path(folder), hosts) as program:
             os.sched_setaffinity(0, cores[:-1] or cores)
-            run_load(program.address, requests * 2, at_once, within=300)  # warm-up
+            run_load(program.address, requests * 2, at_once, timeout_s=300)  # warm-up
             for pair in range(pairs):
                 cost = {}
                 for traced in (False, True) if pair % 2 else (True, False):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Every scenario's program stops with its test."""
+"""Fixtures of all tests: cleanup after each scenario, the log's configuration, and a folder in memory."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 
 
 @pytest.fixture(autouse=True)
-def stop_the_stages() -> Iterator[None]:
-    """Seen: a check of an earlier test asked a later test's host, whose port had been the agent's."""
+def stop_scenarios() -> Iterator[None]:
+    """Stop the front of each scenario with its test.
+
+    Otherwise a front's health check may reach a host of a later test that got the same port.
+    """
     yield
     while Scenario.running:
         Scenario.running.pop().front.stop()
 
 
 @pytest.fixture(autouse=True)
-def leave_the_log_as_it_was() -> Iterator[None]:
-    """Seen: a reload set the log up, and a later test's command wrote its log lines on the error that was looked at."""
+def restore_logging() -> Iterator[None]:
+    """Restore the log's handlers and level, which a reload changes: later tests read standard error."""
     logger = logging.getLogger("bramblestile")
     handlers, level = logger.handlers[:], logger.level
     yield
@@ -33,9 +36,11 @@
 
 @pytest.fixture
 def memory_path(tmp_path: Path) -> Iterator[Path]:
-    """A folder for a file that is cut and written thousands of times: in memory, where there is one. Seen: on a
-    disk each cut waits for the last write to be out, 18 times as long beside four other writers, and a test of 6 s
-    took over 300."""
+    """Return a folder in memory, where there is one, for a file that is truncated and written thousands of times.
+
+    On a disk each truncation waits for the previous write. Beside four other writers that was 18 times as slow, and a
+    test of 6 s took over 300 s.
+    """
     memory = "/dev/shm"
     if not os.access(memory, os.W_OK | os.X_OK):
         yield tmp_path
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,17 +1,18 @@
-"""The scenario language of the tests: who does what, a line each, against the whole program on loopback.
+"""The scenario language of the tests: one step a line, against a whole front on loopback.
 
-    c1 ask          a downstream connects and asks; b0 taken  an upstream host gets the request
+    c1 ask          a downstream connects and sends its request; b0 taken  an upstream host receives it
     c1 send TEXT    a line, CRLF added ('raw' adds none, \\r and \\n may be written)
     c1 expect GLOB  the next line matches; expectraw TEXT: exactly these bytes come next
-    c1 close        ends the connection; reset breaks it; stop ends a host's listener; drop: without TLS's last word
+    c1 close        ends the connection; reset breaks it; stop ends a host's listener; drop: without close_notify
     c1 ends         the other side has ended it; broken: by a reset
     b0 idle         no connection waits there
-    c1 connect      opens the connection and says nothing
-    list b0 STATE   discovery tells; 'cold': started just now
+    c1 connect      opens the connection and sends nothing
+    list b0 STATE   discovery reports the state; 'cold': running, started just now
     reload NAME     a new configuration, which names another discovery; 'none': names none, and no host
     wait NAME N     until a counter has reached N
 
-The words of ``WORDS`` (ask, taken, up, served, full ...) stand for the lines that a wire has for them.
+Actors are c1, c2, ... (downstreams), b0, b1, ... (upstream hosts), a0 (the agent of b0) and d, d2, ... (discovery). The
+words of ``WORDS`` (ask, taken, up, served, full ...) stand for the steps that each protocol needs for them.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from tests import authority
 from vanegw import interface as api
 
-BOUND = 5.0  # seconds within which whatever a scenario waits for must come
+TIMEOUT_S = 5.0  # for whatever a scenario waits for
 CLASS = {"objective_us": 600_000, "deadline_us": 1_500_000, "worth": 1.0}
 LINES = {
     "ask": ["send OPEN {n}00000000000000{n} 7f3a c=feed,t=acme,d=1500,g=5c", "send early"],
@@ -77,40 +78,44 @@
     "late": ["expect -ERR 'Authentication Timeout'", "ends"],
 }
 WORDS = {"lines": LINES, "nats": NATS}
-WIRES = ["lines", "nats", "lines+tls", "nats+tls"]  # '+tls': the same, with TLS to the upstream hosts
+WIRES = ["lines", "nats", "lines+tls", "nats+tls"]  # '+tls': with TLS to the upstream hosts
 
 
 class Peer:
-    """One socket of a scenario."""
+    """One socket of a scenario, with the bytes that were received and not consumed yet."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.read = sock, b""
-        sock.settimeout(BOUND)
+        self.sock, self.buffer = sock, b""
+        sock.settimeout(TIMEOUT_S)
 
     def receive(self) -> bool:
-        got = self.sock.recv(65536)
-        self.read += got
-        return bool(got)
-
-    def take(self, size: int) -> bytes:
-        while len(self.read) < size:
-            assert self.receive(), f"ended after {self.read!r}"
-        got, self.read = self.read[:size], self.read[size:]
-        return got
+        """Read once from the socket. Returns False at its end."""
+        received = self.sock.recv(65536)
+        self.buffer += received
+        return bool(received)
+
+    def read_exactly(self, size: int) -> bytes:
+        """Consume this many bytes."""
+        while len(self.buffer) < size:
+            assert self.receive(), f"ended after {self.buffer!r}"
+        data, self.buffer = self.buffer[:size], self.buffer[size:]
+        return data
 
     def line(self) -> str:
-        while b"\n" not in self.read:
-            assert self.receive(), f"ended after {self.read!r}"
-        return self.take(self.read.index(b"\n") + 1).decode().rstrip("\r\n")
+        """Consume a line and return it without its ending."""
+        while b"\n" not in self.buffer:
+            assert self.receive(), f"ended after {self.buffer!r}"
+        return self.read_exactly(self.buffer.index(b"\n") + 1).decode().rstrip("\r\n")
 
-    def ends(self) -> None:
-        assert not self.read and not self.receive(), f"still says {self.read!r}"
+    def expect_end(self) -> None:
+        """Assert that nothing more comes before the end."""
+        assert not self.buffer and not self.receive(), f"still sends {self.buffer!r}"
 
 
 class Scenario:
-    """The program with one front, its stand-in upstream hosts, and the downstreams of a scenario."""
+    """A front with stand-in upstream hosts and downstreams, and the steps that drive them."""
 
-    running: ClassVar[list[Scenario]] = []  # those that are still to be stopped (conftest.py)
+    running: ClassVar[list[Scenario]] = []  # stopped after each test (conftest.py)
 
     def __init__(
         self,
@@ -126,7 +131,7 @@
         self.servers: dict[str, ssl.SSLContext] = {}  # a host's own, in place of the common authority's
         self.listening = {f"b{n}": socket.create_server(("127.0.0.1", 0)) for n in range(hosts)}
         self.peers: dict[str, Peer] = {}
-        self.kept: list[Peer] = []
+        self.replaced_peers: list[Peer] = []  # kept open
         self.numbers: dict[str, int] = {}
         aims = limits.pop("message_aim_us", [60_000.0, 60_000.0])
         values: dict[str, Any] = {
@@ -163,32 +168,37 @@
         if self.tls:
             self.values["tls"] = {"ca": str(authority.shared().file)} | (tls or {})
         self.counters = Counters()
-        made = self.read()
+        parsed = self.read()
         self.front: Front = (
-            NatsFront(made, self.counters) if isinstance(made, config.NatsConfig) else LineFront(made, self.counters)
+            NatsFront(parsed, self.counters)
+            if isinstance(parsed, config.NatsConfig)
+            else LineFront(parsed, self.counters)
         )
         Scenario.running.append(self)
         self.front.start()
 
     def read(self) -> config.FrontConfig:
+        """Parse the configuration values that hold now."""
         if self.wire == "lines":
-            made = config.read(self.values).lines
-        else:  # what a front has of its own stands in its table
+            parsed = config.read(self.values).lines
+        else:  # the keys of the front itself belong to its table
             own = {k: self.values[k] for k in ("listen", "checks", "known", "discovery", "tls") if k in self.values}
             rest = {k: v for k, v in self.values.items() if k not in own}
-            made = config.read(rest | {"nats": own | {"max_payload": 100, "users": {"once": {"class": "once"}}}}).nats
-        assert made is not None
-        return made
+            parsed = config.read(rest | {"nats": own | {"max_payload": 100, "users": {"once": {"class": "once"}}}}).nats
+        assert parsed is not None
+        return parsed
 
     def reload(self, **changed: Any) -> None:
-        """A new configuration while the front runs; a change to None leaves the key out."""
+        """Apply a changed configuration to the running front; a value of None removes its key."""
         self.values = {k: v for k, v in (self.values | changed).items() if v is not None}
         self.front.reconfigure(self.read())
 
     def entry(self, name: str) -> dict[str, Any]:
+        """Return a host's entry of the list."""
         return {"host": name, "dial": "{}:{}".format(*self.listening[name].getsockname()), "health": "in_service"}
 
     def run(self, script: str) -> None:
+        """Run the steps of a script; a failure names the line."""
         for number, line in enumerate(script.strip().splitlines(), 1):
             if line.strip():
                 try:
@@ -198,17 +208,18 @@
                     raise AssertionError(f"{where}: {error!r}") from error
 
     def step(self, line: str) -> None:
+        """Run one step."""
         actor, verb, rest = (*line.split(" ", 2), "")[:3]
         if actor == "wait":
             self.until(lambda: self.counters.get(verb) >= int(rest), f"{verb}: {self.counters.as_lines()}")
-        elif actor == "reload":  # follow DISCOVERY, or none: the list in the file, which is empty now
+        elif actor == "reload":  # a new discovery, or none: then the list in the file, which is empty now
             if verb == "none":
                 self.reload(discovery=None, known={"seq": 1, "hosts": []})
             else:
                 self.listening[verb] = socket.create_server(("127.0.0.1", 0))
                 self.reload(discovery="{}:{}".format(*self.listening[verb].getsockname()))
         elif actor == "list":
-            self.tell(verb, rest)
+            self.update_host(verb, rest)
         elif verb in WORDS[self.wire]:
             number = self.numbers.setdefault(actor, len(self.numbers) + 1)
             for step in WORDS[self.wire][verb]:
@@ -216,13 +227,15 @@
         else:
             getattr(self, "do_" + verb)(actor, rest)
 
-    def until(self, true: Any, what: str) -> None:
-        end = time.monotonic() + BOUND
-        while not true():
-            assert time.monotonic() < end, what
+    def until(self, condition: Any, message: str) -> None:
+        """Wait until a condition holds."""
+        end = time.monotonic() + TIMEOUT_S
+        while not condition():
+            assert time.monotonic() < end, message
             time.sleep(0.002)
 
-    def tell(self, name: str, state: str) -> None:
+    def update_host(self, name: str, state: str) -> None:
+        """Report a host's state to the front as discovery does."""
         host = self.front.cluster.find(name) or self.front.config.known[int(name[1:])]
         started_at = now() if state == "cold" else host.started_at
         word = "running" if state == "cold" else state
@@ -231,9 +244,10 @@
         )
 
     def peer(self, actor: str) -> Peer:
+        """Return an actor's socket: a host accepts, a downstream connects."""
         if actor not in self.peers:
             if actor in self.listening:
-                self.listening[actor].settimeout(BOUND)
+                self.listening[actor].settimeout(TIMEOUT_S)
                 sock = self.listening[actor].accept()[0]
                 if self.tls and self.wire == "lines" and actor[0] == "b":
                     sock = self.secure(actor, sock)
@@ -244,44 +258,57 @@
         return self.peers[actor]
 
     def secure(self, actor: str, sock: socket.socket) -> socket.socket:
-        """The host's side of a handshake."""
-        sock.settimeout(BOUND)
+        """Carry out the host's side of a TLS handshake."""
+        sock.settimeout(TIMEOUT_S)
         return (self.servers.get(actor) or authority.server_of(actor)).wrap_socket(sock, server_side=True)
 
     def do_send(self, actor: str, text: str) -> None:
+        """Send a line."""
         peer = self.peer(actor)
         peer.sock.sendall(text.encode() + b"\r\n")
-        self.after(actor, peer, text.endswith("}"))
-
-    def after(self, actor: str, peer: Peer, whole: bool) -> None:
-        """A NATS host says INFO in plain text; TLS begins when the line is whole."""
-        if self.tls and self.wire == "nats" and actor[0] == "b" and not isinstance(peer.sock, ssl.SSLSocket) and whole:
+        self.secure_after_info(actor, peer, text.endswith("}"))
+
+    def secure_after_info(self, actor: str, peer: Peer, complete: bool) -> None:
+        """Begin TLS on a NATS host's connection once its plain-text INFO line is complete."""
+        if (
+            self.tls
+            and self.wire == "nats"
+            and actor[0] == "b"
+            and not isinstance(peer.sock, ssl.SSLSocket)
+            and complete
+        ):
             peer.sock = self.secure(actor, peer.sock)
 
     def do_raw(self, actor: str, text: str) -> None:
+        """Send bytes."""
         peer = self.peer(actor)
         raw = text.encode().decode("unicode_escape").encode()
         peer.sock.sendall(raw)
-        self.after(actor, peer, raw.endswith(b"\n"))
+        self.secure_after_info(actor, peer, raw.endswith(b"\n"))
 
     def do_expect(self, actor: str, glob: str) -> None:
-        got = self.peer(actor).line()
-        assert fnmatch.fnmatchcase(got, glob), f"got {got!r}"
+        """Assert that the next line matches."""
+        received = self.peer(actor).line()
+        assert fnmatch.fnmatchcase(received, glob), f"got {received!r}"
 
     def do_expectraw(self, actor: str, text: str) -> None:
-        wanted = text.encode().decode("unicode_escape").encode()
-        got = self.peer(actor).take(len(wanted))
-        assert got == wanted, f"got {got!r}"
+        """Assert that exactly these bytes come next."""
+        expected = text.encode().decode("unicode_escape").encode()
+        received = self.peer(actor).read_exactly(len(expected))
+        assert received == expected, f"got {received!r}"
 
     def do_connect(self, actor: str, _: str) -> None:
+        """Open the connection and send nothing."""
         self.peer(actor)
 
     def do_accept(self, actor: str, _: str) -> None:
+        """Accept a further connection; the earlier one stays open but is no longer used."""
         if actor in self.peers:
-            self.kept.append(self.peers.pop(actor))  # it stays open, out of the scenario's sight
+            self.replaced_peers.append(self.peers.pop(actor))
         self.peer(actor)
 
     def do_close(self, actor: str, _: str) -> None:
+        """Close in order, with close_notify on TLS."""
         sock = self.peers.pop(actor).sock
         if isinstance(sock, ssl.SSLSocket):
             sock.settimeout(0)
@@ -290,30 +317,36 @@
         sock.close()
 
     def do_drop(self, actor: str, _: str) -> None:
+        """Close without close_notify."""
         self.peers.pop(actor).sock.close()
 
     def do_reset(self, actor: str, _: str) -> None:
+        """Close with a reset."""
         sock = self.peers.pop(actor).sock
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
 
     def do_ends(self, actor: str, _: str) -> None:
-        self.peers.pop(actor).ends()
+        """Assert that the other side ends the connection and sends nothing more."""
+        self.peers.pop(actor).expect_end()
 
     def do_broken(self, actor: str, _: str) -> None:
+        """Assert that the other side resets the connection."""
         peer = self.peers.pop(actor)
         with contextlib.suppress(ConnectionResetError):
-            if isinstance(peer.sock, ssl.SSLSocket):  # which tells a reset as an end
+            if isinstance(peer.sock, ssl.SSLSocket):  # which reports a reset as an end
                 with socket.socket(fileno=os.dup(peer.sock.fileno())) as below:
-                    below.settimeout(BOUND)
+                    below.settimeout(TIMEOUT_S)
                     while below.recv(65536):
                         pass
             else:
-                peer.ends()
+                peer.expect_end()
             raise AssertionError("ended without a reset")
 
     def do_stop(self, actor: str, _: str) -> None:
+        """Close a host's listener."""
         self.listening[actor].close()
 
     def do_idle(self, actor: str, _: str) -> None:
+        """Assert that no connection waits to be accepted."""
         assert not select.select([self.listening[actor]], [], [], 0)[0], "a connection waits there"
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Agent-check and HTTP health: what is said of the balancer, and what upstream hosts say of themselves."""
+"""Agent checks and HTTP health checks, of the balancer and of upstream hosts, and how their results persist."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.test_process import SETTINGS
 from vanegw.interface import ListMode, State
 
-SAYS = "a0 accept\na0 send {}\na0 close\n"
-HTTP = "a0 accept\na0 expect GET /healthz HTTP/1.1\na0 send HTTP/1.1 {}\na0 close\n"
-STANDS = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
+ANSWER = "a0 accept\na0 send {}\na0 close\n"
+HTTP_ANSWER = "a0 accept\na0 expect GET /healthz HTTP/1.1\na0 send HTTP/1.1 {}\na0 close\n"
+ESTABLISHED = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
 
 
 @pytest.mark.parametrize(
-    ("line", "opinion"),
+    ("line", "result"),
     [
         ("up ready 75%", CheckResult(True, 0.75)),
         ("drain", CheckResult(False)),
@@ -35,40 +35,40 @@
         ("\u00b2% what", CheckResult()),
     ],
 )
-def test_the_words_of_an_agent(line: str, opinion: CheckResult) -> None:
-    assert parse_agent_line(line) == opinion
+def test_agent_line_is_parsed(line: str, result: CheckResult) -> None:
+    assert parse_agent_line(line) == result
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
 @pytest.mark.parametrize(
     ("check", "script"),
     [
-        # A host that says drain loses its clients and gets nothing new; after up it is used again.
+        # A host whose agent answers drain loses its clients and gets no new ones; after up it is used again.
         (
             "agent",
-            STANDS
-            + SAYS.format("drain")
+            ESTABLISHED
+            + ANSWER.format("drain")
             + "c1 moved\nc2 ask\nc2 refused\nb0 idle\n"
-            + SAYS.format("up 50%")
+            + ANSWER.format("up 50%")
             + "wait checks_changed_a_host 2\nc3 ask\nb0 accept\nb0 taken\nb0 up\nc3 served",
         ),
-        # Three failed checks in a row are a host that is down; two sound ones bring it back.
+        # After three consecutive failed checks a host is down; after two successful ones it is up again.
         ("agent", "a0 stop\nwait checks_failed 3\nwait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle"),
         (
             "http",
-            HTTP.format("503 Unwell")
+            HTTP_ANSWER.format("503 Unwell")
             + "wait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle\n"
-            + HTTP.format("200 OK")
+            + HTTP_ANSWER.format("200 OK")
             + "wait checks_changed_a_host 2\nc2 ask\nb0 taken\nb0 up\nc2 served",
         ),
-        ("http", SAYS.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
+        ("http", ANSWER.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
     ],
 )
-def test_what_a_host_says_counts(wire: str, check: str, script: str) -> None:
+def test_check_results_take_effect(wire: str, check: str, script: str) -> None:
     Scenario(wire, check=check).run(script)
 
 
-def test_what_is_said_of_the_balancer() -> None:
+def test_health_of_the_balancer() -> None:
     listed = [{"host": n, "dial": "127.0.0.1:1", "health": "in_service"} for n in ("a", "b")]
     daemon = Daemon(
         config.read(
@@ -82,7 +82,7 @@
     )
     daemon.start()
 
-    def said(name: str, request: str = "") -> str:
+    def answer(name: str, request: str = "") -> str:
         peer = Peer(socket.create_connection(daemon.told_at[name].address))
         peer.sock.sendall(request.encode())
         line = peer.line()
@@ -91,34 +91,39 @@
         return line
 
     def http(path: str, verb: str = "GET") -> str:
-        return said("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
+        return answer("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
 
-    assert said("agent_check") == "up ready 100%"
+    assert answer("agent_check") == "up ready 100%"
     daemon.fronts[0].decisions.apply_check("a", takes_work=False)
-    assert (said("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
+    assert (answer("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
     assert (http("/other"), http("/live", "POST")) == ("404 Not Found", "405 Method Not Allowed")
-    assert said("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
+    assert answer("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
     daemon.fronts[0].decisions.apply_check("b", takes_work=False)
-    assert (said("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
+    assert (answer("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
     daemon.leaving = True
-    assert (said("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
+    assert (answer("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
 
 
 @pytest.mark.parametrize(
-    ("say", "kept"),
+    ("apply", "expected"),
     [
         (lambda cluster: cluster.mark_draining("a"), State.RUNNING),
         (lambda cluster: cluster.apply_check("a", False), State.DRAINING),
         (lambda cluster: cluster.set_closed("a", True), State.CLOSED),
     ],
 )
-def test_a_host_in_service_again_keeps_what_others_said_of_it(say: Callable[[Cluster], object], kept: State) -> None:
-    # A check says once that a host is down, and a certificate is refused once: were these dropped with the host's own
-    # word when discovery lists it again, the down or the unproven host would get new work.
+def test_host_listed_as_in_service_again_keeps_the_state_of_other_sources(
+    apply: Callable[[Cluster], object], expected: State
+) -> None:
+    """Only the host's own announcement that it drains may end when discovery lists it as in service again.
+
+    A failed check and a refused certificate are reported once. If they ended too, a host that is down or unverified
+    would get new connections.
+    """
     host = UpstreamHost("a", ("127.0.0.1", 1))
     cluster = Cluster()
     cluster.update(ListMode.COMPLETE, [host])
-    assert say(cluster) is not None
+    assert apply(cluster) is not None
     cluster.update(ListMode.CHANGES, [replace(host, state=State.DRAINING)])
-    (seen,) = cluster.update(ListMode.CHANGES, [host])
-    assert seen.state is kept
+    (effective,) = cluster.update(ListMode.CHANGES, [host])
+    assert effective.state is expected
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -646,7 +646,7 @@
     good = {name: ca().issue(name) for name in ("h0", "h1")}
     bad = ca().issue("h0", until=-SECOND)
     shown = dict(good)
-    hosts = load_module.StubHosts(2, life=-1, tls=lambda name: shown[name].server())
+    hosts = load_module.StubHosts(2, lifetime_s=-1, tls=lambda name: shown[name].server())
     plan = {"directory": str(tmp_path), "flush_ms": 100}
     table = {"ca": str(ca().file), "tickets": 0, "full_per_s": 1000, "burst": 100}
     try:
@@ -656,15 +656,15 @@
                 sock.sendall(b"OPEN %016x %016x c=feed,t=vestland-museum,d=1500\r\n" % (n + 1, n))
                 assert sockets.LineReader(sock).line(3 * SECOND) is not None
             shown["h0"] = bad
-            hosts.on_loop(hosts.renew("h0"))
-            got = load_module.run_load(program.address, 60, at_once=4, stay=0.02)
+            hosts.run_on_loop(hosts.renew_certificate("h0"))
+            got = load_module.run_load(program.address, 60, concurrency=4, hold_s=0.02)
             assert got["UP"] == 60, got
             assert program.wait_for("certificate refused")["reason"] == "expired"
             for sock in standing:  # on whichever host it stands
                 sock.sendall(b"still here\r\n")
                 assert bytes(sockets.LineReader(sock).line(3 * SECOND) or b"") == b"still here\r\n"
             shown["h0"] = good["h0"]
-            hosts.on_loop(hosts.renew("h0"))
+            hosts.run_on_loop(hosts.renew_certificate("h0"))
             program.wait_for("certificate accepted")
             counters = program.counters()
             assert counters["tls_refused_expired"] >= 1 and counters.get("moved", 0) == 0
--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -76,7 +76,9 @@
     program = DaemonProcess(folder, hosts, trace=trace_config(folder))
     try:
         program.wait_until_up()
-        loading = threading.Thread(target=run_load, args=(program.address, 100_000), kwargs={"within": seconds + 5.0})
+        loading = threading.Thread(
+            target=run_load, args=(program.address, 100_000), kwargs={"timeout_s": seconds + 5.0}
+        )
         loading.start()
         time.sleep(seconds)
         program.process.kill()
