--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -54,7 +54,7 @@
         self._draining: set[str] = set()  # hosts that announced themselves that they drain
         self._suspended: Collection[str] = ()  # by operators, listed or not
         self._weight_factors: Mapping[str, float] = {}  # factors of the weights; 1 where a host has none
-        self.send_allowed: Callable[[str], bool] | None = None  # a further condition, asked at each send
+        self.send_allowed: Callable[[str], bool] | None = None  # a further condition, checked at each send
         self._resumed: Mapping[str, timedelta] = {}  # hosts that operators resumed: their earliest start time
         self._sending: Counter[str] = Counter()  # requests that are being written to a host
 
@@ -91,11 +91,11 @@
             host = self._listed.get(name)
             if host is None:
                 return None
-            before, (works, part) = self._effective(host), self._check_results.get(name, (True, 1.0))
-            works = works if takes_work is None else takes_work
+            before, (accepts, old_share) = self._effective(host), self._check_results.get(name, (True, 1.0))
+            accepts = accepts if takes_work is None else takes_work
             if takes_work:
                 self._draining.discard(name)
-            self._check_results[name] = (works, part if share is None else share)
+            self._check_results[name] = (accepts, old_share if share is None else share)
             after = self._effective(host)
             return after if after != before else None
 
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -133,9 +133,9 @@
     last_response: timedelta = ZERO_DURATION  # when the last response came
     write_lock: threading.Lock = field(default_factory=threading.Lock)
     moved: bool = False
-    started: bool = False  # the downstream has its first answer; before that it cannot be told to move
+    started: bool = False  # the downstream has its first answer; before that it cannot be moved
     move_requested: bool = False  # the writer sends the move message after the current message
-    rejected: bool = False  # the downstream violated its protocol and was told so
+    rejected: bool = False  # the downstream violated its protocol and got an error
     last_kind: MessageKind = MessageKind.OTHER  # the last message from upstream
     downstream_reset: bool = False  # the downstream's side broke
     upstream_reset: bool = False
@@ -243,10 +243,10 @@
         view = memoryview(buffer)
         size = len(self.unsent_to_downstream)
         buffer[:size] = self.unsent_to_downstream
-        has_new_data = size > 0
+        has_unfed_data = size > 0
         poll = None if self.pause_signal is None else self.pause_signal.poll_with(self.upstream)
         while True:
-            if not has_new_data:
+            if not has_unfed_data:
                 if poll is not None and self._wait_or_pause(poll, view[:size], to_upstream=False):
                     return
                 try:
@@ -262,7 +262,7 @@
                     self._write_to_downstream(view[:size])  # an incomplete last message is forwarded as it is
                     return
                 size += received
-            has_new_data = False
+            has_unfed_data = False
             passed, messages = self.from_upstream.feed(view[:size])
             if passed == 0 and size == len(buffer):
                 passed = size  # longer than any valid message: forwarded, not judged here
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -57,7 +57,7 @@
         """Record that a connection is up; ``resumed`` where its host held it before."""
 
     def note(self, time: timedelta, note: api.Note) -> None:
-        """Record what the decision module was told of a connection."""
+        """Record a note on a connection that was passed to the decision module."""
 
     def moved(self, time: timedelta, id: str, host: str, reason: str) -> None:
         """Record that a connection's client was told to move."""
@@ -71,8 +71,8 @@
     def started(self, time: timedelta, hall: str, fronts: Sequence[str]) -> None:
         """Record the start of the recording process."""
 
-    def stopped(self, time: timedelta, standing: int) -> None:
-        """Record the stop of the process and the number of connections that are still open."""
+    def stopped(self, time: timedelta, open_connections: int) -> None:
+        """Record the stop of the process, with the number of connections that are still open."""
 
     def reloaded(self, time: timedelta, taken: bool, text: str) -> None:
         """Record a configuration reload: whether it was applied, and otherwise the error."""
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -11,8 +11,15 @@
     reload NAME     a new configuration, which names another discovery; 'none': names none, and no host
     wait NAME N     until a counter has reached N
 
-Actors are c1, c2, ... (downstreams), b0, b1, ... (upstream hosts), a0 (the agent of b0) and d, d2, ... (discovery). The
-words of ``WORDS`` (ask, taken, up, served, full ...) stand for the steps that each protocol needs for them.
+Actors are c1, c2, ... (downstreams), b0, b1, ... (upstream hosts), a0 (the agent of b0) and d, d2, ... (discovery).
+Further verbs stand for the steps that each protocol needs for them (``WORDS``):
+
+    c1 ask          sends a request; ask-once: of a class that must not run twice
+    b0 taken        receives the request; up, full, error: answers it
+    c1 served       gets that answer; refused, failed, moved: gets it, and the end
+    c1 says         sends a message; hears: receives it; b0 bye: sends the completion message, where there is one
+    c1 greeted      connects and reads what the front sends first; b0 hello: sends what a host sends first
+    c1 word         gets an error; unread: gets it, and the end; late: is disconnected because it was too slow
 """
 
 from __future__ import annotations
