--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -13,7 +13,7 @@
 from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
-MAX_PINGS = 16  # before a request; the platform's front sends one, as its health check
+MAX_PINGS = 16  # before a request: the platform's front sends one, and a client that sends more wants no connection
 
 
 class SocketDownstream(ABC):
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -226,8 +226,8 @@
     def switch_to(self, discovery: Address) -> None:
         """Watch another discovery from now on.
 
-        A request that is waiting at the old one is ended and none follows it. The new one is asked for its whole list
-        at once, since its news may be due at any moment.
+        A request that is waiting at the old one is ended and none follows it. The whole list is requested from the new
+        one at once, because the balancer may be expected to know its news at any moment.
         """
         old, self._client = self._client, HttpClient(discovery)
         self._triggered.set()
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -86,7 +86,9 @@
     bound_to = values.get("at")
     timeout = _parse_timeout(values.get("d", ""))
     if bound_to is not None:
-        timeout = min(timeout, MAX_TIMEOUT)  # clients of bound connections may send any timeout
+        timeout = min(
+            timeout, MAX_TIMEOUT
+        )  # clients of bound connections may wait without limit: their run has long begun
     elif not ZERO_DURATION < timeout <= MAX_TIMEOUT:
         raise MalformedRequestError(f"d: {values['d'][:20]!r}")
     hint = _parse_float(values["h"].encode()) if values.get("h") else None
