--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -34,10 +34,10 @@
     A host's effective state is the most restrictive of these sources:
 
     - The state that discovery lists.
-    - The result of a health check, until a later check replaces it or the host restarts.
+    - The result of a health check, until a later check replaces it, or the host restarts or is no longer listed.
     - The host's own announcement that it drains. It ends when the host restarts, when a check finds that the host
       takes work, or when discovery lists the host as in service after it had listed it as draining.
-    - A refused certificate, until it is accepted again or the host restarts.
+    - A refused certificate, until it is accepted again, or the host restarts or is no longer listed.
     - An operator's order that suspends the host. Nothing that discovery lists ends it, not even that the host
       disappears and comes back.
 
