--- a/bramblestile/cli/main.py
+++ b/bramblestile/cli/main.py
@@ -75,15 +75,15 @@
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 def check(file: Path | None) -> None:
     """Read and check a configuration; name the faulty key and exit with 2, or say what would run."""
-    from bramblestile.process.config import ConfigError, load
+    from bramblestile.process.config import ConfigError, load_config
 
     try:
-        config = load([str(file)] if file else [], os.environ)
+        config = load_config([str(file)] if file else [], os.environ)
     except ConfigError as error:
         raise Refused(str(error)) from None
     for front in (config.lines, config.nats):
         if front is not None:
-            listen, hosts = "{}:{}".format(*front.listen), len(front.known)
+            listen, hosts = "{}:{}".format(*front.listen), len(front.known_hosts)
             kind = "lines" if front is config.lines else "nats"
             source = "{}:{}".format(*front.discovery) if front.discovery else "the file alone"
             classes = ", ".join(c.name for c in front.settings.classes)
--- a/bramblestile/cli/tls.py
+++ b/bramblestile/cli/tls.py
@@ -13,7 +13,7 @@
 from bramblestile.clock import MICROSECOND
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.counters import Counters
-from bramblestile.process.config import Config, ConfigError, FrontConfig, load
+from bramblestile.process.config import Config, ConfigError, FrontConfig, load_config
 from bramblestile.process.front import load_tls
 from bramblestile.tls import Dialer, making
 from bramblestile.tls.dialer import Seen
@@ -28,7 +28,7 @@
 def _dialer(front: FrontConfig, is_nats: bool) -> Dialer:
     assert front.tls is not None
     plan, trust = load_tls(front.tls)
-    before = nats.read_info if is_nats and not front.tls.first else None
+    before = nats.read_info if is_nats and not front.tls.handshake_first else None
     return Dialer(plan, Counters(), before=before, trust=trust)
 
 
@@ -47,20 +47,20 @@
     resumed. Nothing but handshakes is sent. Exit code 1 if any host is refused or does not answer.
     """
     try:
-        config = load([str(file)], os.environ)
+        config = load_config([str(file)], os.environ)
         fronts = _fronts(config)
         if not fronts:
             raise Refused(f"{file}: no front has a tls table")
         dialers = [(front, _dialer(front, front is config.nats)) for front in fronts]
     except ConfigError as error:
         raise Refused(str(error)) from None
-    known = {host.id for front in fronts for host in front.known}
+    known = {host.id for front in fronts for host in front.known_hosts}
     for name in only:
         if name not in known:
             raise Refused(f"--host: {name!r} is not listed in {file}")
     bad = looked = 0
     for front, dialer in dialers:
-        for host in front.known:
+        for host in front.known_hosts:
             if only and host.id not in only:
                 continue
             looked += 1
--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -47,16 +47,16 @@
     key: Path | None
     crl: Path | None
     name: str  # a template: who a host must prove to be
-    least: str
+    min_version: str
     unverified: bool
-    first: bool  # NATS: TLS before INFO
-    handshake: timedelta
-    full_per_s: float
-    burst: float
-    resumed: float
-    tickets: int
-    ticket_age: timedelta
-    warn: timedelta
+    handshake_first: bool  # NATS: TLS before INFO
+    handshake_timeout: timedelta
+    full_handshakes_per_s: float
+    handshake_burst: float
+    resumed_cost: float
+    tickets_per_host: int
+    ticket_lifetime: timedelta
+    expiry_warning: timedelta
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,13 +67,13 @@
     listen: Address
     discovery: Address | None  # None: the list in the file is all there is
     seed: int
-    known_version: int
-    known: tuple[UpstreamHost, ...]
+    known_hosts_version: int
+    known_hosts: tuple[UpstreamHost, ...]
     settings: api.Settings
     connect_timeout: timedelta = CONNECT_WITHIN
-    probe_within: timedelta = PROBE_WITHIN
+    probe_timeout: timedelta = PROBE_WITHIN
     checks: Mapping[str, agent.CheckTarget] = field(default_factory=dict)
-    check_every: timedelta = CHECK_EVERY
+    check_interval: timedelta = CHECK_EVERY
     pending_downstreams: int = LOBBY_MOST  # downstreams that are no request yet
     tls: TlsConfig | None = None  # to the upstream hosts; None: off
 
@@ -108,18 +108,18 @@
     directory: Path
     instance: str
     hall: str
-    flush: timedelta
-    buffer: int
+    flush_interval: timedelta
+    buffer_size: int
     file_bytes: int
     file_age: timedelta
     total_bytes: int
-    keep: Mapping[str, float]
+    keep_shares: Mapping[str, float]
 
 
 @dataclass(slots=True, frozen=True)
 class LogConfig:
     level: str = "info"
-    form: str = "auto"
+    format: str = "auto"
 
 
 @dataclass(slots=True, frozen=True)
@@ -132,7 +132,7 @@
     seeds: tuple[Address, ...]
     keys: tuple[bytes, ...]
     hall: str
-    probe: timedelta
+    probe_interval: timedelta
     min_suspicion: timedelta
     max_suspicion: timedelta
 
@@ -155,11 +155,11 @@
     trace: TraceConfig | None = None  # None: off
     log: LogConfig = field(default_factory=LogConfig)
     management: Address | None = None  # where operators call; None: nowhere
-    inherited: int | None = None  # the descriptor of the clients' listening socket; None: one of our own
+    inherited_descriptor: int | None = None  # the descriptor of the clients' listening socket; None: one of our own
     fleet: FleetConfig | None = None  # None: off
     work: WorkConfig | None = None  # None: off
-    kept_in: Path | None = None  # the folder for what outlasts the process; None: nothing does
-    told: Mapping[str, Any] = field(default_factory=dict, compare=False)  # the file's own words
+    state_directory: Path | None = None  # the folder for what outlasts the process; None: nothing does
+    file_values: Mapping[str, Any] = field(default_factory=dict, compare=False)  # the file's own words
 
 
 class Section:
@@ -251,13 +251,13 @@
         listen=at.address("listen"),
         discovery=at.address("discovery") if at.has("discovery") else None,
         seed=_seed(top),
-        known_version=known.integer("seq", 0),
-        known=hosts,
+        known_hosts_version=known.integer("seq", 0),
+        known_hosts=hosts,
         settings=_settings(owner),
         connect_timeout=limits.micros("connect_timeout_us", CONNECT_WITHIN),
-        probe_within=spans.micros("probe_us", PROBE_WITHIN),
+        probe_timeout=spans.micros("probe_us", PROBE_WITHIN),
         checks=_checks(at.section("checks"), {h.id for h in hosts}),
-        check_every=spans.micros("check_us", CHECK_EVERY, 10_000),
+        check_interval=spans.micros("check_us", CHECK_EVERY, 10_000),
         pending_downstreams=_lobby(top.section("limits")),
         tls=_tls(at.section("tls"), hosts) if at.has("tls") else None,
     )
@@ -286,16 +286,16 @@
         path=at.path,
         **files,
         name=name,
-        least=at.one_of("min_version", ("1.2", "1.3"), "1.2"),
+        min_version=at.one_of("min_version", ("1.2", "1.3"), "1.2"),
         unverified=unverified,
-        first=at.flag("handshake_first", False),
-        handshake=timedelta(milliseconds=at.integer("handshake_ms", 500, 10)),
-        full_per_s=at.number("full_per_s", 40.0, 0.1),
-        burst=at.number("burst", 8.0, 1),
-        resumed=resumed,
-        tickets=at.integer("tickets", 32),
-        ticket_age=timedelta(seconds=at.integer("ticket_s", 3600, 1)),
-        warn=timedelta(days=at.integer("warn_days", 14)),
+        handshake_first=at.flag("handshake_first", False),
+        handshake_timeout=timedelta(milliseconds=at.integer("handshake_ms", 500, 10)),
+        full_handshakes_per_s=at.number("full_per_s", 40.0, 0.1),
+        handshake_burst=at.number("burst", 8.0, 1),
+        resumed_cost=resumed,
+        tickets_per_host=at.integer("tickets", 32),
+        ticket_lifetime=timedelta(seconds=at.integer("ticket_s", 3600, 1)),
+        expiry_warning=timedelta(days=at.integer("warn_days", 14)),
     )
 
 
@@ -432,12 +432,12 @@
         directory=Path(at.text("directory")),
         instance=at.text("instance", name),
         hall=at.text("hall", hall or "-"),
-        flush=timedelta(milliseconds=at.integer("flush_ms", 1000, 20)),
-        buffer=at.integer("buffer", 8192, 64),
+        flush_interval=timedelta(milliseconds=at.integer("flush_ms", 1000, 20)),
+        buffer_size=at.integer("buffer", 8192, 64),
         file_bytes=int(file_mb * (1 << 20)),
         file_age=timedelta(seconds=at.number("file_s", 3600, 1)),
         total_bytes=int(total_mb * (1 << 20)),
-        keep={cls: keep.number(cls, 1.0) for cls in keep.values},
+        keep_shares={cls: keep.number(cls, 1.0) for cls in keep.values},
     )
 
 
@@ -463,7 +463,7 @@
     return NatsConfig(**{f: getattr(front, f) for f in FrontConfig.__slots__}, server_info=server_info)
 
 
-def read(values: Mapping[str, Any], environment: Mapping[str, str] | None = None) -> Config:
+def parse_config(values: Mapping[str, Any], environment: Mapping[str, str] | None = None) -> Config:
     """The checked configuration. The platform's variables fill in what the file leaves out."""
     named = {
         "name": "EDGE_NAME",
@@ -515,7 +515,7 @@
 ALWAYS = ("name", "listen", "seed", "limits", "known", "settings")
 
 
-def missing(before: Mapping[str, Any], after: Mapping[str, Any]) -> str | None:
+def first_missing_key(before: Mapping[str, Any], after: Mapping[str, Any]) -> str | None:
     """The first key that a new file lacks though the one in force has it: a file that lost a part must not pass for one
     that asks for defaults. Below ``settings`` that is every key; a class has those that the classes had."""
     for key in ALWAYS:
@@ -555,7 +555,7 @@
     return Path(folder) if folder else None
 
 
-def load(arguments: list[str], environment: Mapping[str, str]) -> Config:
+def load_config(arguments: list[str], environment: Mapping[str, str]) -> Config:
     """From $EDGE_CONFIG and the operator's file named on the command line."""
     values: dict[str, Any] = {}
     if environment.get("EDGE_CONFIG"):
@@ -566,7 +566,7 @@
         values.update(_parse(Path(arguments[0])))
     if not values:
         raise ConfigError("EDGE_CONFIG: not set, and no file is named on the command line")
-    return read(values, environment)
+    return parse_config(values, environment)
 
 
 def _parse(path: Path) -> dict[str, Any]:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -36,8 +36,8 @@
     StoreConfig,
     TraceConfig,
     WorkConfig,
-    load,
-    missing,
+    load_config,
+    first_missing_key,
 )
 from bramblestile.process.front import Front, LineFront, NatsFront, naming
 from bramblestile.process.listeners import Listener, take_over
@@ -88,10 +88,10 @@
             plan.directory,
             plan.instance,
             plan.hall,
-            plan.flush,
-            plan.buffer,
+            plan.flush_interval,
+            plan.buffer_size,
             RetentionLimits(plan.file_bytes, plan.file_age, plan.total_bytes),
-            plan.keep,
+            plan.keep_shares,
         ),
         counters,
     )
@@ -107,7 +107,7 @@
             config.fleet.name,
             plan.voters,
             plan.directory,
-            config.kept_in,
+            config.state_directory,
             gossip,
             daemon,
             daemon.counters,
@@ -124,8 +124,8 @@
     except ImportError as error:
         raise ConfigError(f"fleet: needs the extra 'fleet' of this package ({error.name} is not installed)") from None
     protocol = membership.ProtocolConfig(
-        probe_interval=plan.probe,
-        ack_timeout=plan.probe * 0.4,
+        probe_interval=plan.probe_interval,
+        ack_timeout=plan.probe_interval * 0.4,
         min_suspicion=plan.min_suspicion,
         max_suspicion=plan.max_suspicion,
     )
@@ -167,7 +167,7 @@
         self._recalled: list[dict[str, Any]] | None = []  # what the process before knew, until it can be taken
         self._asked = 0, now()  # requests that had come when the fleet was last told
         self.kept = Kept(
-            config.kept_in if config.management is not None else None,
+            config.state_directory if config.management is not None else None,
             "nats" if config.lines is None else config.lines.name,
         )
         self._ordering = threading.Lock()  # one order at a time
@@ -181,7 +181,7 @@
         self.gossip = (
             None
             if config.fleet is None
-            else make_gossip(config.fleet, self.counters, patient=config.inherited is not None)
+            else make_gossip(config.fleet, self.counters, patient=config.inherited_descriptor is not None)
         )
         self.maintenance: MaintenanceService | None = None
         self._constraints: RoutingConstraints | None = None
@@ -191,13 +191,13 @@
                 self.maintenance = make_maintenance(config.work, self, self.gossip, config)
                 for front in self.fronts:
                     front.cluster.send_allowed = self.maintenance.allows
-        if self.lines is not None and config.inherited is not None:
+        if self.lines is not None and config.inherited_descriptor is not None:
             try:
-                self.lines.inherited = take_over(config.inherited)
+                self.lines.inherited_socket = take_over(config.inherited_descriptor)
             except ValueError as error:
                 raise ConfigError(f"EDGE_SOCKET_FD: {error}") from None
-            if config.kept_in is not None:
-                self.succession = Succession(config.kept_in, self.counters)
+            if config.state_directory is not None:
+                self.succession = Succession(config.state_directory, self.counters)
                 self.succession.adopt = self._adopt
                 self.succession.export_state, self.succession.import_state = (
                     self.lines.decisions.export_state,
@@ -212,7 +212,10 @@
             operators = Operators(self, self.counters)
             with naming("management", self.config.management):
                 self.management = Server(
-                    self.config.management, operators, self.counters, patient=self.config.inherited is not None
+                    self.config.management,
+                    operators,
+                    self.counters,
+                    patient=self.config.inherited_descriptor is not None,
                 )
             self.management.start()
             for run in (self._run_orders, self._run_plans):
@@ -282,7 +285,7 @@
         return adopt_connection(self.lines.context, standing, request, self.lines.listener.run)
 
     def _take_from_inherited(self) -> None:
-        if self.lines is not None and self.lines.inherited is not None and self.lines.listener is not None:
+        if self.lines is not None and self.lines.inherited_socket is not None and self.lines.listener is not None:
             self.lines.listener.start()
 
     def why_not_ready(self) -> str | None:
@@ -372,7 +375,7 @@
             if getattr(config, name) != getattr(self.config, name):
                 self.log.warning("reload", key=name, text="a change needs a restart")
         self._rekey(config.fleet)
-        log.configure(config.log.level, config.log.form)
+        log.configure(config.log.level, config.log.format)
         old, self.config = self.config, config
         if config.trace != old.trace:
             self._trace(config.trace)
@@ -468,14 +471,14 @@
         for front in self.fronts:
             load_figures = front.decisions.load_figures()
             for host in front.cluster.listed_hosts():
-                load, masked = load_figures.get(host.id, (None, False))
+                load_config, masked = load_figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
                 found[host.id] = MachineView(
                     host.zone,
                     host.weight,
                     front.warmth(host),
                     running,
-                    load=(load or 0.0) * host.weight * front.warmth(host),
+                    load=(load_config or 0.0) * host.weight * front.warmth(host),
                     expected_warmth=front.warmth(host, LEFT_MEAN),
                 )
         return found
@@ -593,8 +596,8 @@
 def reload(daemon: Daemon, arguments: list[str]) -> None:
     """SIGHUP: the same files are read again. A faulty one changes nothing."""
     try:
-        config = load(arguments, os.environ)
-        lost = missing(daemon.config.told, config.told)
+        config = load_config(arguments, os.environ)
+        lost = first_missing_key(daemon.config.file_values, config.file_values)
         if lost is not None:
             raise ConfigError(f"{lost}: missing, though the settings in force have it")
         daemon.reconfigure(config)
@@ -613,11 +616,11 @@
     # before the first file is read: a SIGHUP that came sooner would end the program.
     signal.pthread_sigmask(signal.SIG_BLOCK, WAITED)
     try:
-        config = load(arguments, os.environ)
+        config = load_config(arguments, os.environ)
     except ConfigError as error:
         print(f"bramblestile: {error}", file=sys.stderr, flush=True)
         return 2
-    log.configure(config.log.level, config.log.form)
+    log.configure(config.log.level, config.log.format)
     threading.stack_size(STACK)
     try:
         daemon = Daemon(config)
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -53,13 +53,13 @@
     except ImportError as error:
         raise ConfigError(f"tls: needs the extra 'tls' of this package ({error.name} is not installed)") from None
     plan = tls.Plan(
-        tls.Files(config.ca, config.cert, config.key, config.crl, config.least, config.unverified),
+        tls.Files(config.ca, config.cert, config.key, config.crl, config.min_version, config.unverified),
         config.name,
-        config.handshake,
-        tls.Rates(config.full_per_s, config.burst, config.resumed),
-        config.tickets,
-        config.ticket_age,
-        config.warn,
+        config.handshake_timeout,
+        tls.Rates(config.full_handshakes_per_s, config.handshake_burst, config.resumed_cost),
+        config.tickets_per_host,
+        config.ticket_lifetime,
+        config.expiry_warning,
     )
     try:
         return plan, tls.load(plan.files, before)
@@ -104,12 +104,18 @@
             self.name,
         )
         self.tls = None if config.tls is None else self._make_tls(config.tls)
-        self.probes = ProbeRunner(self.cluster, self.prober, config.probe_within, self.decisions.handle_event, counters)
-        self.watch = None if config.discovery is None else self._make_watch(config.discovery, config.known_version)
-        self.checks = HealthChecker(config.checks, config.check_every, self.checked, counters)
+        self.probes = ProbeRunner(
+            self.cluster, self.prober, config.probe_timeout, self.decisions.handle_event, counters
+        )
+        self.watch = (
+            None if config.discovery is None else self._make_watch(config.discovery, config.known_hosts_version)
+        )
+        self.checks = HealthChecker(config.checks, config.check_interval, self.checked, counters)
         self.pending_downstreams = PendingDownstreams(config.pending_downstreams)
         self.listener: Listener | None = None
-        self.inherited: socket.socket | None = None  # a listening socket that others hold too; None: one of our own
+        self.inherited_socket: socket.socket | None = (
+            None  # a listening socket that others hold too; None: one of our own
+        )
         self.stopped = threading.Event()
         self.away = False  # operators have clients sent away
         self.heard = threading.Event()  # discovery has told the list, or there is none to tell it
@@ -127,7 +133,7 @@
             self.warmth,
             self.cluster.find,
             self.decisions.set_closed,
-            None if config.first else self.before_tls,
+            None if config.handshake_first else self.before_tls,
             trust=trust,
         )
 
@@ -179,13 +185,18 @@
             self._start_watch(self.watch)
         self.decisions.start()
         self.connections.start()
-        self.decisions.update_list(api.ListMode.RESTORED, self.config.known)
+        self.decisions.update_list(api.ListMode.RESTORED, self.config.known_hosts)
         self.checks.start()
         with naming(self.key, self.config.listen):
             self.listener = Listener(
-                self.config.listen, self.serve, self.counters, self.name, self.pending_downstreams, self.inherited
+                self.config.listen,
+                self.serve,
+                self.counters,
+                self.name,
+                self.pending_downstreams,
+                self.inherited_socket,
             )
-        if self.inherited is None:
+        if self.inherited_socket is None:
             self.listener.start()
 
     def _make_watch(self, discovery: Address, version: int | None) -> DiscoveryWatch:
@@ -209,14 +220,14 @@
         take_tls()
         self.decisions.reconfigure(config.settings)
         self.delays.threshold = noted_from(config.settings)
-        self.context.connect_timeout, self.probes.answer_timeout = config.connect_timeout, config.probe_within
+        self.context.connect_timeout, self.probes.answer_timeout = config.connect_timeout, config.probe_timeout
         self.pending_downstreams.limit = config.pending_downstreams
         self._follow(old.discovery, config)
-        if (config.checks, config.check_every) != (old.checks, old.check_every):
+        if (config.checks, config.check_interval) != (old.checks, old.check_interval):
             self.checks.stop()
             for name in old.checks:  # what an ended check has said last must not hold for ever
                 self.checked(name, CheckResult(takes_work=True, share=1.0))
-            self.checks = HealthChecker(config.checks, config.check_every, self.checked, self.counters)
+            self.checks = HealthChecker(config.checks, config.check_interval, self.checked, self.counters)
             self.checks.start()
 
     def _follow(self, old: Address | None, config: FrontConfig) -> None:
@@ -225,7 +236,7 @@
                 self.watch.stop()
                 self.watch = None
             # Nobody else tells of changes: the file's list is the cluster.
-            self.decisions.update_list(api.ListMode.COMPLETE, config.known)
+            self.decisions.update_list(api.ListMode.COMPLETE, config.known_hosts)
         elif self.watch is None:
             self.watch = self._make_watch(config.discovery, None)
             self._start_watch(self.watch)
@@ -380,7 +391,7 @@
         while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
             if self.stopped.wait(LOOK_AGAIN.total_seconds()):
                 return
-            if nats.has_stopped_draining(self._dial, host, self.config.probe_within):
+            if nats.has_stopped_draining(self._dial, host, self.config.probe_timeout):
                 self.decisions.apply_check(name, takes_work=True)
                 break
         self._watched.discard(name)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -187,11 +187,13 @@
     def read(self) -> config.FrontConfig:
         """Parse the configuration values that hold now."""
         if self.wire == "lines":
-            parsed = config.read(self.values).lines
+            parsed = config.parse_config(self.values).lines
         else:  # the keys of the front itself belong to its table
             own = {k: self.values[k] for k in ("listen", "checks", "known", "discovery", "tls") if k in self.values}
             rest = {k: v for k, v in self.values.items() if k not in own}
-            parsed = config.read(rest | {"nats": own | {"max_payload": 100, "users": {"once": {"class": "once"}}}}).nats
+            parsed = config.parse_config(
+                rest | {"nats": own | {"max_payload": 100, "users": {"once": {"class": "once"}}}}
+            ).nats
         assert parsed is not None
         return parsed
 
@@ -243,7 +245,7 @@
 
     def update_host(self, name: str, state: str) -> None:
         """Report a host's state to the front as discovery does."""
-        host = self.front.cluster.find(name) or self.front.config.known[int(name[1:])]
+        host = self.front.cluster.find(name) or self.front.config.known_hosts[int(name[1:])]
         started_at = now() if state == "cold" else host.started_at
         word = "running" if state == "cold" else state
         self.front.decisions.update_list(
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -71,7 +71,7 @@
 def test_health_of_the_balancer() -> None:
     listed = [{"host": n, "dial": "127.0.0.1:1", "health": "in_service"} for n in ("a", "b")]
     daemon = Daemon(
-        config.read(
+        config.parse_config(
             {
                 "listen": "127.0.0.1:0",
                 "settings": SETTINGS,
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -19,7 +19,7 @@
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.operations import kept
 from bramblestile.operations.kept import Kept, NotKeptError, Orders
-from bramblestile.process.config import read
+from bramblestile.process.config import parse_config
 from bramblestile.process.daemon import Daemon
 from tests.scenario import Scenario
 from tests.upgrade import SETTINGS, Client, serving
@@ -251,7 +251,7 @@
 def test_hosts_that_are_out_hold_no_thread_each() -> None:
     """Guards against a thread for each host for as long as it is out, which may be days."""
     hosts = [{"host": f"h{n}", "dial": "127.0.0.1:1", "health": "in_service"} for n in range(50)]
-    daemon = Daemon(read({"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"seq": 1, "hosts": hosts}}))
+    daemon = Daemon(parse_config({"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"seq": 1, "hosts": hosts}}))
     before = threading.active_count()
     for host in hosts:
         daemon.order(partial(Orders.suspend, host=str(host["host"]), at=now()))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -35,9 +35,9 @@
 
 
 def test_the_operators_file_is_read_as_it_stands() -> None:
-    got = config.load([str(Path(__file__).parent.parent / "deploy" / "nats.toml")], {})
+    got = config.load_config([str(Path(__file__).parent.parent / "deploy" / "nats.toml")], {})
     assert got.lines is None and got.nats is not None
-    assert [h.id for h in got.nats.known] == ["catalogue-a", "catalogue-b"]
+    assert [h.id for h in got.nats.known_hosts] == ["catalogue-a", "catalogue-b"]
     assert got.nats.server_info.users["curators"].tenant == "vestland-museum"
 
 
@@ -45,18 +45,18 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     file = Path(__file__).parent.parent / "deploy" / "trace.toml"
-    got = config.load([str(file)], {"EDGE_CONFIG": str(path)})
+    got = config.load_config([str(file)], {"EDGE_CONFIG": str(path)})
     assert got.trace is not None and got.trace.file_bytes == 64 << 20 and got.log.level == "info"
     path.write_text(json.dumps({k: v for k, v in GOOD.items() if k != "trace"}))
-    assert config.load([], {"EDGE_CONFIG": str(path)}).trace is None
+    assert config.load_config([], {"EDGE_CONFIG": str(path)}).trace is None
 
 
 def test_the_platforms_file_and_variables(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({key: GOOD[key] for key in ("settings", "known")}))
-    got = config.load([], {"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81", "EDGE_NAME": "n3"})
+    got = config.load_config([], {"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81", "EDGE_NAME": "n3"})
     assert got.nats is None and got.lines is not None
-    assert (got.lines.name, got.lines.listen, got.lines.known_version) == ("n3", ("127.0.0.9", 81), 4)
+    assert (got.lines.name, got.lines.listen, got.lines.known_hosts_version) == ("n3", ("127.0.0.9", 81), 4)
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
         at = at.setdefault(name, {})
     at[last] = value
     with pytest.raises(config.ConfigError, match="^" + re.escape(path)):
-        config.read(values)
+        config.parse_config(values)
 
 
 def test_the_program_answers_prints_its_counters_and_leaves_nobody_behind(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from bramblestile.process import daemon
-from bramblestile.process.config import load
+from bramblestile.process.config import load_config
 from bramblestile.process.daemon import Daemon
 
 ONE = {"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "safe"}
@@ -37,7 +37,9 @@
         self.path = folder / "config.json"
         self.path.write_text(json.dumps(FILE))
         monkeypatch.setenv("EDGE_CONFIG", str(self.path))
-        self.daemon = Daemon(load([], os.environ))  # not started: what it would do by its settings is all in them
+        self.daemon = Daemon(
+            load_config([], os.environ)
+        )  # not started: what it would do by its settings is all in them
 
     def take(self, raw: bytes) -> bool:
         self.path.write_bytes(raw)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -304,7 +304,7 @@
     def start_daemon(name: str) -> Daemon:
         table = {n: f"{a[0]}:{a[1]}" for n, a in addresses.items()}
         daemon = Daemon(
-            config.read(
+            config.parse_config(
                 {
                     "listen": "127.0.0.1:0",
                     "settings": SETTINGS,
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -576,7 +576,7 @@
 def test_a_faulty_table_is_refused_by_its_key(table: dict[str, Any], words: str) -> None:
     stage = Scenario()
     with pytest.raises(config.ConfigError, match="^" + words.replace("{", r"\{")):
-        config.read(stage.values | {"tls": {"x": 1} | table})
+        config.parse_config(stage.values | {"tls": {"x": 1} | table})
 
 
 def test_without_verification_anyone_is_believed_and_that_is_said(host: Any, capsys: Any) -> None:
