--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -159,7 +159,7 @@
             host = self._listed.get(name)
             return None if host is None else host.started_at
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Return whether a host is listed or suspended."""
         with self._lock:
             return name in self._listed or name in self._suspended
--- a/bramblestile/operations/calls.py
+++ b/bramblestile/operations/calls.py
@@ -22,24 +22,24 @@
 class Operated(Protocol):
     """What can be done to a balancer. None of it waits for a socket or for the decisions."""
 
-    def why_not_ready(self) -> str | None: ...
+    def unready_reason(self) -> str | None: ...
 
-    def knows(self, host: str) -> bool:
+    def is_known(self, host: str) -> bool:
         """The host is listed, or is out by an order."""
 
     def started_at(self, host: str) -> timedelta | None:
         """Its last start, as listed."""
 
-    def order(self, change: Callable[[Orders], Orders]) -> None:
+    def change_orders(self, change: Callable[[Orders], Orders]) -> None:
         """Keeps and obeys it; from the return on no send begins that it forbids. NotKeptError: it is not taken."""
 
     def has_no_sends_in_progress(self, host: str) -> bool:
         """No request is being sent there."""
 
-    def work(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
+    def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
         """A call about the order of work: what is to be asked until it gives status and text. None: there is none."""
 
-    def fleet(self) -> str | None:
+    def fleet_view(self) -> str | None:
         """The members of the fleet, as JSON; None where this balancer is in none."""
 
 
@@ -58,7 +58,7 @@
             case ("readyz",):
                 if call.method not in ("GET", "HEAD"):
                     return Answer(405, "GET it", allow="GET, HEAD")
-                why = self._operated.why_not_ready()
+                why = self._operated.unready_reason()
                 return YES if why is None else Answer(503, why)
             case ("work",) | ("work", "history"):
                 if call.method not in ("GET", "HEAD"):
@@ -71,7 +71,7 @@
             case ("fleet",):
                 if call.method not in ("GET", "HEAD"):
                     return Answer(405, "GET it", allow="GET, HEAD")
-                told = self._operated.fleet()
+                told = self._operated.fleet_view()
                 return Answer(404, "this balancer is in no fleet") if told is None else Answer(200, told)
             case ("balancer", "drain" | "activate" as what):
                 return self._put(call) or self._drain(what == "drain")
@@ -80,7 +80,7 @@
         return NOWHERE
 
     def _work(self, verb: str, text: str) -> Answer | Pending:
-        pending = self._operated.work(verb, text)
+        pending = self._operated.call_maintenance(verb, text)
         if pending is None:
             return Answer(404, "this balancer has no part in an order of work")
 
@@ -97,7 +97,7 @@
         return self._order(lambda orders: replace(orders, drained=drained)) or YES
 
     def _host(self, host: str, out: bool) -> Answer | Pending:
-        if not self._operated.knows(host):
+        if not self._operated.is_known(host):
             return Answer(404, "no image server of this id is listed")
 
         def change(orders: Orders) -> Orders:
@@ -118,7 +118,7 @@
 
     def _order(self, change: Callable[[Orders], Orders]) -> Answer | None:
         try:
-            self._operated.order(change)
+            self._operated.change_orders(change)
         except NotKeptError as error:
             return Answer(503, f"not taken, as it cannot be kept: {error}")
         return None
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -36,8 +36,8 @@
     StoreConfig,
     TraceConfig,
     WorkConfig,
-    load_config,
     first_missing_key,
+    load_config,
 )
 from bramblestile.process.front import Front, LineFront, NatsFront, naming
 from bramblestile.process.listeners import Listener, take_over
@@ -150,7 +150,7 @@
         self.log = Log()
         self.tracing = TracerHandle()
         self.recorder: Recorder | None = None
-        self.leaving = False
+        self.is_shutting_down = False
         self.stopping = threading.Event()
         self.peers: PeerSender | None = None
         self.store: Store | None = None
@@ -158,7 +158,7 @@
             self._make_store(config.store, config.seed)
         self.config = config
         self.health = config.health
-        self.told_at: dict[str, Listener] = {}  # where the health protocols are answered
+        self.auxiliary_listeners: dict[str, Listener] = {}  # where the health protocols are answered
         self.lines = None if config.lines is None else LineFront(config.lines, self.counters, self.tracing)
         self.nats = None if config.nats is None else NatsFront(config.nats, self.counters, self.tracing)
         self.fronts: list[Front] = [front for front in (self.lines, self.nats) if front is not None]
@@ -233,19 +233,19 @@
         if self.config.store is not None and self.store is not None and self.peers is not None:
             self._start_store(self.config.store, self.store, self.peers)
         asked = (
-            ("agent", self.health.agent, "agent_check", lambda sock: agent.serve_agent_check(sock, self.is_well)),
+            ("agent", self.health.agent, "agent_check", lambda sock: agent.serve_agent_check(sock, self.health_report)),
             (
                 "http",
                 self.health.http,
                 "health",
-                lambda sock: agent.serve_http_check(sock, self.is_well, self.health.path),
+                lambda sock: agent.serve_http_check(sock, self.health_report, self.health.path),
             ),
         )
         for key, address, name, answer in asked:
             if address is not None:
                 with naming(f"health.{key}", address):
-                    self.told_at[name] = Listener(address, answer, self.counters, name)
-                self.told_at[name].start()
+                    self.auxiliary_listeners[name] = Listener(address, answer, self.counters, name)
+                self.auxiliary_listeners[name].start()
 
     def _become_ready(self) -> None:
         """Ready is who could serve at once: the list is heard, or will not be for a while. Beside a process that still
@@ -288,15 +288,15 @@
         if self.lines is not None and self.lines.inherited_socket is not None and self.lines.listener is not None:
             self.lines.listener.start()
 
-    def why_not_ready(self) -> str | None:
-        if self.leaving:
+    def unready_reason(self) -> str | None:
+        if self.is_shutting_down:
             return "this process is leaving"
         return None if self.ready.is_set() else "the list of image servers has not been heard yet"
 
     # What operators order.
 
-    def knows(self, host: str) -> bool:
-        return any(front.cluster.knows(host) for front in self.fronts)
+    def is_known(self, host: str) -> bool:
+        return any(front.cluster.is_known(host) for front in self.fronts)
 
     def started_at(self, host: str) -> timedelta | None:
         return next(
@@ -306,7 +306,7 @@
     def has_no_sends_in_progress(self, host: str) -> bool:
         return all(front.cluster.has_no_sends_in_progress(host) for front in self.fronts)
 
-    def order(self, change: Callable[[Orders], Orders]) -> None:
+    def change_orders(self, change: Callable[[Orders], Orders]) -> None:
         with self._ordering:
             self._obey(self.kept.change(change))
 
@@ -353,7 +353,7 @@
     def _run_plans(self) -> None:
         """Moves by the plans that orders make, also what comes up late or is handed on, until they are called back. One
         thread for all of them: a host may be out for days, and many at once."""
-        while not self.leaving:
+        while not self.is_shutting_down:
             if not self._plans:
                 self._planned.wait()
                 self._planned.clear()
@@ -421,7 +421,7 @@
         except (JournalError, OSError) as error:
             raise ConfigError(f"store.directory: {error}") from None
         replica = Replica(made.name, list(made.peers), journal, Random(f"{seed} {made.name}"), now())
-        self.store = Store(replica, self.peers.send, self.stored)
+        self.store = Store(replica, self.peers.send, self.apply_store_entry)
 
     def _start_store(self, made: StoreConfig, store: Store, ways: PeerSender) -> None:
         from bramblestile.wire import peers
@@ -431,12 +431,12 @@
 
         with naming(f"store.peers.{made.name}", made.peers[made.name]):
             listener = Listener(made.peers[made.name], serve, self.counters, "store")
-        self.told_at["store"] = listener
+        self.auxiliary_listeners["store"] = listener
         listener.start()
         ways.start()
         store.start()
 
-    def stored(self, key: str, value: str) -> None:
+    def apply_store_entry(self, key: str, value: str) -> None:
         """What the peers agree on. ``hosts/NAME`` holds an agent-check's words for that upstream host."""
         kind, _, name = key.partition("/")
         if kind == "hosts":
@@ -445,7 +445,7 @@
 
     def stop_store(self) -> None:
         if self.store is not None and self.peers is not None:
-            self.told_at["store"].stop()
+            self.auxiliary_listeners["store"].stop()
             self.peers.stop()
             self.store.stop()
 
@@ -499,7 +499,7 @@
             self._constraints = constraints
             self._obey(self.kept.orders)
 
-    def work(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
+    def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
         """Asked of the leader, wherever it is. What is returned is asked over and over and waits for nothing."""
         maintenance = self.maintenance
         if maintenance is None:
@@ -528,14 +528,14 @@
         (before, since), self._asked = self._asked, (asked, at)
         return {"traffic": (asked - before) / max((at - since).total_seconds(), 0.001)}
 
-    def fleet(self) -> str | None:
+    def fleet_view(self) -> str | None:
         """The fleet as this member sees it, as JSON; None where there is none."""
         return None if self.gossip is None else json.dumps(self.gossip.describe())
 
-    def is_well(self) -> agent.Health:
+    def health_report(self) -> agent.Health:
         """What other balancers are told of this one."""
         share = max((front.share_of_hosts() for front in self.fronts), default=0.0)
-        return agent.Health(share > 0, self.leaving or self._drained_since is not None, share)
+        return agent.Health(share > 0, self.is_shutting_down or self._drained_since is not None, share)
 
     def stop(self) -> None:
         """Takes what the front still sends, or leaves that to a ready successor, answers it, moves all that stands, and
@@ -546,7 +546,7 @@
             self.maintenance.stop()
         if self.gossip is not None:
             self.gossip.stop()
-        self.leaving = True  # said at once; what still comes is taken
+        self.is_shutting_down = True  # said at once; what still comes is taken
         succeeded = self.succession is not None and self.succession.wait_for_ready(READY_WITHIN)
         listeners = [front.listener for front in self.fronts if front.listener is not None]
         threading.Thread(
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -92,7 +92,7 @@
     def connection_count(self) -> int:
         """Return the number of all open connections."""
 
-    def why_not_ready(self) -> str | None:
+    def unready_reason(self) -> str | None:
         """Return why this process cannot serve; None if it can."""
 
     def machine_views(self) -> dict[str, MachineView]:
@@ -288,7 +288,7 @@
         connections = self._balancer.connections(excluded) if excluded else {}
         if self.participant.is_excluded:
             connections[self.participant.machine_name] = self._balancer.connection_count()
-        poll = self.participant.poll(current_time, quiesced, connections, self._balancer.why_not_ready() is None)
+        poll = self.participant.poll(current_time, quiesced, connections, self._balancer.unready_reason() is None)
         poll = msgspec.structs.replace(poll, suspended_hosts=tuple(self._balancer.suspended_hosts()[:8]))
         to_leader = self.participant.leader and self._random.random() < 0.7
         self._gossip.send(
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -83,7 +83,7 @@
     daemon.start()
 
     def answer(name: str, request: str = "") -> str:
-        peer = Peer(socket.create_connection(daemon.told_at[name].address))
+        peer = Peer(socket.create_connection(daemon.auxiliary_listeners[name].address))
         peer.sock.sendall(request.encode())
         line = peer.line()
         while peer.receive():
@@ -100,7 +100,7 @@
     assert answer("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
     daemon.fronts[0].decisions.apply_check("b", takes_work=False)
     assert (answer("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
-    daemon.leaving = True
+    daemon.is_shutting_down = True
     assert (answer("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -70,13 +70,13 @@
     def __init__(self) -> None:
         self.orders = Orders()
 
-    def why_not_ready(self) -> str | None:
+    def unready_reason(self) -> str | None:
         return self.why
 
-    def knows(self, host: str) -> bool:
+    def is_known(self, host: str) -> bool:
         return host == "s/1"
 
-    def order(self, change: Callable[[Orders], Orders]) -> None:
+    def change_orders(self, change: Callable[[Orders], Orders]) -> None:
         if self.full:
             raise NotKeptError("no room")
         self.orders = change(self.orders)
@@ -87,10 +87,10 @@
     def has_no_sends_in_progress(self, host: str) -> bool:
         return self.quiet
 
-    def fleet(self) -> str | None:
+    def fleet_view(self) -> str | None:
         return None
 
-    def work(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
+    def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
         return None
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -48,7 +48,7 @@
         assert found is None or found.state in (State.CLOSED, State.DRAINING)
         with cluster.guard_send(replace(A, started_at=listed.started_at)) as allowed:
             assert not allowed
-    assert cluster.knows("a") and not cluster.knows("c")
+    assert cluster.is_known("a") and not cluster.is_known("c")
 
 
 def test_called_back_a_host_counts_as_just_born_until_it_is_listed_as_younger() -> None:
@@ -254,5 +254,5 @@
     daemon = Daemon(parse_config({"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"seq": 1, "hosts": hosts}}))
     before = threading.active_count()
     for host in hosts:
-        daemon.order(partial(Orders.suspend, host=str(host["host"]), at=now()))
+        daemon.change_orders(partial(Orders.suspend, host=str(host["host"]), at=now()))
     assert threading.active_count() == before and len(daemon._plans) == 50
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -332,11 +332,11 @@
     others = [name for name in addresses if name != first_leader]
     for name in others:
         call_until({"do": "get", "key": "hosts/a"}, name, lambda reply: reply["value"] == "drain")
-        assert daemons[name].is_well().takes_work is False
+        assert daemons[name].health_report().takes_work is False
     call_until({**set_request, "value": "up 50%"}, others[0], lambda reply: reply["ok"])
     daemons[first_leader] = start_daemon(first_leader)
     call_until({"do": "get", "key": "hosts/a"}, first_leader, lambda reply: reply["value"] == "up 50%")
-    assert daemons[first_leader].is_well().takes_work is True
+    assert daemons[first_leader].health_report().takes_work is True
     peer = "{}:{}".format(*addresses[first_leader])
     assert cli.main(["store", "get", peer, "hosts/a"]) == 0 and cli.main(["store", "set", peer]) == 2
     assert capsys.readouterr().out == "up 50%\n"
