--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -39,8 +39,8 @@
     first_missing_key,
     load_config,
 )
-from bramblestile.process.front import Front, LineFront, NatsFront, naming
-from bramblestile.process.listeners import Listener, take_over
+from bramblestile.process.front import Front, LineFront, NatsFront, naming_key
+from bramblestile.process.listeners import Listener, adopt_listening_socket
 from bramblestile.tracing import Tracer, TracerHandle
 from bramblestile.wire import agent
 from vanegw.interface import State
@@ -130,7 +130,7 @@
         max_suspicion=plan.max_suspicion,
     )
     host, port = plan.advertised
-    with naming("fleet.listen", plan.listen):
+    with naming_key("fleet.listen", plan.listen):
         return gossip.Gossip(
             plan.listen,
             messages.MemberRecord(plan.name, host, port, 0, hall=plan.hall, version=__version__),
@@ -193,7 +193,7 @@
                     front.cluster.send_allowed = self.maintenance.allows
         if self.lines is not None and config.inherited_descriptor is not None:
             try:
-                self.lines.inherited_socket = take_over(config.inherited_descriptor)
+                self.lines.inherited_socket = adopt_listening_socket(config.inherited_descriptor)
             except ValueError as error:
                 raise ConfigError(f"EDGE_SOCKET_FD: {error}") from None
             if config.state_directory is not None:
@@ -210,7 +210,7 @@
         if self.config.management is not None:
             # Before the fronts take descriptors. Another process of this balancer may have the address a while longer.
             operators = Operators(self, self.counters)
-            with naming("management", self.config.management):
+            with naming_key("management", self.config.management):
                 self.management = Server(
                     self.config.management,
                     operators,
@@ -243,7 +243,7 @@
         )
         for key, address, name, answer in asked:
             if address is not None:
-                with naming(f"health.{key}", address):
+                with naming_key(f"health.{key}", address):
                     self.auxiliary_listeners[name] = Listener(address, answer, self.counters, name)
                 self.auxiliary_listeners[name].start()
 
@@ -254,7 +254,7 @@
         if self.succession is not None and not self.succession.predecessor:
             self._take_from_inherited()
         for front in self.fronts:
-            front.heard.wait(max(ZERO_DURATION, until - now()).total_seconds())
+            front.list_received.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.maintenance is not None:  # or it might send where nobody else does
             self.maintenance.first_reply.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.succession is not None:
@@ -282,7 +282,7 @@
         standing, request = unpacked(message, downstream, upstream)
         for side in (downstream, upstream):
             sockets.set_options(side)
-        return adopt_connection(self.lines.context, standing, request, self.lines.listener.run)
+        return adopt_connection(self.lines.context, standing, request, self.lines.listener.run_in_thread)
 
     def _take_from_inherited(self) -> None:
         if self.lines is not None and self.lines.inherited_socket is not None and self.lines.listener is not None:
@@ -328,7 +328,7 @@
         if drained != (self._drained_since is not None):
             self._drained_since = now() if drained else None
             for front in self.fronts:
-                front.away = drained
+                front.is_drained = drained
         plans: dict[tuple[str | None, timedelta], Evacuation] = {
             (host, since): Evacuation(since + LEFT_FROM, since + LEFT_BY)
             for host, since in {**draining_since, **orders.suspended}.items()
@@ -365,7 +365,7 @@
         """Takes what can change while all that stands stays; names what needs a restart. ConfigError: nothing is taken,
         as one of the files that the configuration names is faulty."""
         fronts = (("lines", self.lines, config.lines), ("nats", self.nats, config.nats))
-        tls = {name: front.prepare(made) for name, front, made in fronts if front is not None and made is not None}
+        tls = {name: front.prepare_tls(made) for name, front, made in fronts if front is not None and made is not None}
         for name, front, made in fronts:
             if front is not None and made is not None:
                 front.reconfigure(made, tls[name])
@@ -429,7 +429,7 @@
         def serve(sock: socket.socket) -> None:
             peers.serve(sock, store, made.peers, self.counters)
 
-        with naming(f"store.peers.{made.name}", made.peers[made.name]):
+        with naming_key(f"store.peers.{made.name}", made.peers[made.name]):
             listener = Listener(made.peers[made.name], serve, self.counters, "store")
         self.auxiliary_listeners["store"] = listener
         listener.start()
@@ -441,7 +441,7 @@
         kind, _, name = key.partition("/")
         if kind == "hosts":
             for front in self.fronts:
-                front.checked(name, agent.parse_agent_line(value))
+                front.on_check_result(name, agent.parse_agent_line(value))
 
     def stop_store(self) -> None:
         if self.store is not None and self.peers is not None:
@@ -560,7 +560,7 @@
             self.succession.hand_on()
         # The moved come back at once, all of them: spread as widely as the time allows, they are no storm.
         plan = Evacuation(began + (MOVES_TO_SUCCESSOR if succeeded else MOVES_FROM), began + leaving - LAST_MOVES)
-        while now() < began + leaving and (now() < plan.first or any(listener.busy for listener in listeners)):
+        while now() < began + leaving and (now() < plan.first or any(listener.active_count for listener in listeners)):
             self._evacuate(plan, "stop")
             time.sleep(TICK.total_seconds())
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -34,8 +34,8 @@
 if TYPE_CHECKING:
     from bramblestile import tls
 
-FIRST_LINE = timedelta(seconds=2)  # from the accept to the whole first line, however many PINGs come before
-LOOK_AGAIN = timedelta(seconds=1)  # between two looks at a NATS host that has said that it drains
+FIRST_LINE_TIMEOUT = timedelta(seconds=2)  # from the accept to the whole first line, however many PINGs come before
+DRAIN_RECHECK_INTERVAL = timedelta(seconds=1)  # between two looks at a NATS host that has said that it drains
 MILLISECOND = timedelta(milliseconds=1)
 
 
@@ -68,7 +68,7 @@
 
 
 @contextmanager
-def naming(key: str, address: Address) -> Iterator[None]:
+def naming_key(key: str, address: Address) -> Iterator[None]:
     """An address that cannot be had is the configuration's fault, and is named by its key."""
     try:
         yield
@@ -89,7 +89,7 @@
         self.log = Log(front=self.name)
         self.cluster = Cluster()
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
-        self.connections = Connections(self.mute, self.hush)
+        self.connections = Connections(self.on_silent_connection, self.on_silent_host)
         self.delays = DelayMonitor(noted_from(config.settings), self._note_delay)
         self.context = ServingContext(
             self.decisions,
@@ -98,7 +98,7 @@
             counters,
             self,
             config.connect_timeout,
-            self.host_drains,
+            self.mark_host_draining,
             self._dial,
             self.tracing,
             self.name,
@@ -107,20 +107,20 @@
         self.probes = ProbeRunner(
             self.cluster, self.prober, config.probe_timeout, self.decisions.handle_event, counters
         )
-        self.watch = (
+        self.discovery_watch = (
             None if config.discovery is None else self._make_watch(config.discovery, config.known_hosts_version)
         )
-        self.checks = HealthChecker(config.checks, config.check_interval, self.checked, counters)
+        self.checks = HealthChecker(config.checks, config.check_interval, self.on_check_result, counters)
         self.pending_downstreams = PendingDownstreams(config.pending_downstreams)
         self.listener: Listener | None = None
         self.inherited_socket: socket.socket | None = (
             None  # a listening socket that others hold too; None: one of our own
         )
         self.stopped = threading.Event()
-        self.away = False  # operators have clients sent away
-        self.heard = threading.Event()  # discovery has told the list, or there is none to tell it
+        self.is_drained = False  # operators have clients sent away
+        self.list_received = threading.Event()  # discovery has told the list, or there is none to tell it
         if config.discovery is None:
-            self.heard.set()
+            self.list_received.set()
 
     def _make_tls(self, config: TlsConfig) -> tls.Dialer:
         plan, trust = load_tls(config)
@@ -154,7 +154,7 @@
         part = min(1.0, max(0.0, (now() + later - host.started_at) / timedelta(microseconds=settings.cold_us)))
         return settings.cold_from + (1 - settings.cold_from) * part
 
-    def prepare(self, config: FrontConfig) -> Callable[[], None]:
+    def prepare_tls(self, config: FrontConfig) -> Callable[[], None]:
         """Reads what a new configuration names. ConfigError, and nothing has changed; else what takes it into use."""
         if config.tls is None:
             return self._end_tls
@@ -181,13 +181,13 @@
             self.tls.start()
         self.decisions.on_probe = self.probes.request
         self.decisions.on_move = self.connections.move
-        if self.watch is not None:
-            self._start_watch(self.watch)
+        if self.discovery_watch is not None:
+            self._start_watch(self.discovery_watch)
         self.decisions.start()
         self.connections.start()
         self.decisions.update_list(api.ListMode.RESTORED, self.config.known_hosts)
         self.checks.start()
-        with naming(self.key, self.config.listen):
+        with naming_key(self.key, self.config.listen):
             self.listener = Listener(
                 self.config.listen,
                 self.serve,
@@ -205,7 +205,7 @@
     def _told(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         self.decisions.update_list(mode, hosts)
         if mode is not api.ListMode.UNAVAILABLE:
-            self.heard.set()
+            self.list_received.set()
 
     def _start_watch(self, watch: DiscoveryWatch) -> None:
         self.decisions.on_subscribe = watch.trigger
@@ -213,7 +213,7 @@
 
     def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
         """Takes the new configuration while all that stands stays as it is. ``take_tls``: what ``prepare`` gave."""
-        take_tls = take_tls or self.prepare(config)
+        take_tls = take_tls or self.prepare_tls(config)
         old, self.config = self.config, replace(config, listen=self.config.listen)
         if config.listen != old.listen:
             self.log.warning("reload", key="listen", text=f"a new address needs a restart, {old.listen} is kept")
@@ -226,23 +226,23 @@
         if (config.checks, config.check_interval) != (old.checks, old.check_interval):
             self.checks.stop()
             for name in old.checks:  # what an ended check has said last must not hold for ever
-                self.checked(name, CheckResult(takes_work=True, share=1.0))
-            self.checks = HealthChecker(config.checks, config.check_interval, self.checked, self.counters)
+                self.on_check_result(name, CheckResult(takes_work=True, share=1.0))
+            self.checks = HealthChecker(config.checks, config.check_interval, self.on_check_result, self.counters)
             self.checks.start()
 
     def _follow(self, old: Address | None, config: FrontConfig) -> None:
         if config.discovery is None:
-            if self.watch is not None:
-                self.watch.stop()
-                self.watch = None
+            if self.discovery_watch is not None:
+                self.discovery_watch.stop()
+                self.discovery_watch = None
             # Nobody else tells of changes: the file's list is the cluster.
             self.decisions.update_list(api.ListMode.COMPLETE, config.known_hosts)
-        elif self.watch is None:
-            self.watch = self._make_watch(config.discovery, None)
-            self._start_watch(self.watch)
-            self.watch.trigger()
+        elif self.discovery_watch is None:
+            self.discovery_watch = self._make_watch(config.discovery, None)
+            self._start_watch(self.discovery_watch)
+            self.discovery_watch.trigger()
         elif config.discovery != old:
-            self.watch.switch_to(config.discovery)
+            self.discovery_watch.switch_to(config.discovery)
 
     def stop(self) -> None:
         """Asks nobody anything more and accepts nothing more; what stands is not touched."""
@@ -250,8 +250,8 @@
         self.checks.stop()
         if self.tls is not None:
             self.tls.stop()
-        if self.watch is not None:
-            self.watch.stop()
+        if self.discovery_watch is not None:
+            self.discovery_watch.stop()
         if self.listener is not None:
             self.listener.stop()
 
@@ -288,24 +288,24 @@
         self.delays.record(standing, delay)
 
     def on_host_draining(self, standing: ProxiedConnection) -> None:
-        self.host_drains(standing.host)
+        self.mark_host_draining(standing.host)
 
-    def mute(self, standing: ProxiedConnection, delay: timedelta) -> None:
+    def on_silent_connection(self, standing: ProxiedConnection, delay: timedelta) -> None:
         self._note(standing, api.NoteKind.SILENCE, delay / MILLISECOND)
 
-    def hush(self, standing: ProxiedConnection, silent: timedelta) -> None:
+    def on_silent_host(self, standing: ProxiedConnection, silent: timedelta) -> None:
         self.delays.record(standing, silent, answered=False)
         self._note(standing, api.NoteKind.HUSH, silent / MILLISECOND)
 
     def _note_delay(self, standing: ProxiedConnection, delay: timedelta) -> None:
         self._note(standing, api.NoteKind.DELAY, delay / MILLISECOND)
 
-    def host_drains(self, name: str) -> None:
+    def mark_host_draining(self, name: str) -> None:
         """An upstream host's own word that it drains counts like discovery's."""
         if self.decisions.mark_draining(name):
             self.counters.add("told_draining_by_host")
 
-    def checked(self, name: str, opinion: CheckResult) -> None:
+    def on_check_result(self, name: str, opinion: CheckResult) -> None:
         if self.decisions.apply_check(name, opinion.takes_work, opinion.share):
             self.counters.add("checks_changed_a_host")
             self.log.info("check", host=name, takes_work=opinion.takes_work, share=opinion.share)
@@ -329,7 +329,7 @@
     def serve(self, sock: socket.socket) -> None:
         """The first line of a downstream: a health check, or a request whose life begins."""
         reader = sockets.LineReader(sock, lines.MAX_LINE_BYTES)
-        until = now() + FIRST_LINE
+        until = now() + FIRST_LINE_TIMEOUT
         try:
             for _ in range(MAX_PINGS):
                 line = reader.line(until - now())
@@ -339,7 +339,7 @@
                     return
                 if sockets.decode_line(line) != "PING":
                     break
-                sockets.write(sock, [lines.BUSY if self.away else lines.PONG])
+                sockets.write(sock, [lines.BUSY if self.is_drained else lines.PONG])
             else:
                 raise lines.MalformedRequestError("PING and nothing else")
             asked, head = lines.parse_open(line)
@@ -381,15 +381,15 @@
     key = "nats.listen"
     before_tls = staticmethod(nats.read_info)
 
-    def host_drains(self, name: str) -> None:
+    def mark_host_draining(self, name: str) -> None:
         """A host that has no check is asked for its INFO until it drains no more: no list may ever tell."""
-        super().host_drains(name)
+        super().mark_host_draining(name)
         if name not in self.config.checks and self._watched.add_new(name):
             threading.Thread(target=self._look_again, args=(name,), name="ldm " + name, daemon=True).start()
 
     def _look_again(self, name: str) -> None:
         while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
-            if self.stopped.wait(LOOK_AGAIN.total_seconds()):
+            if self.stopped.wait(DRAIN_RECHECK_INTERVAL.total_seconds()):
                 return
             if nats.has_stopped_draining(self._dial, host, self.config.probe_timeout):
                 self.decisions.apply_check(name, takes_work=True)
@@ -407,7 +407,7 @@
 
     def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
         assert isinstance(config, NatsConfig)
-        take_tls = take_tls or self.prepare(config)  # before anything changes: it may refuse
+        take_tls = take_tls or self.prepare_tls(config)  # before anything changes: it may refuse
         self._greet(config)
         super().reconfigure(config, take_tls)
 
@@ -416,7 +416,7 @@
         return prober.probe, prober.close
 
     def serve(self, sock: socket.socket) -> None:
-        if self.away:
+        if self.is_drained:
             self._turn_away(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
             return
         reader = sockets.LineReader(sock, nats.MAX_LINE_BYTES)
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -23,7 +23,7 @@
 Serve = Callable[[socket.socket], None]
 
 
-def take_over(descriptor: int) -> socket.socket:
+def adopt_listening_socket(descriptor: int) -> socket.socket:
     """The listening socket that whoever started us holds. ValueError says what else the descriptor is."""
     try:
         sock = socket.socket(fileno=descriptor)
@@ -69,7 +69,7 @@
         self.address: Address = self._sock.getsockname()[:2]
         self._stopped = False
         self._busy = threading.Lock()
-        self.busy = 0  # downstreams taken and not yet over
+        self.active_count = 0  # downstreams taken and not yet over
 
     def start(self) -> None:
         if self._thread.ident is None:
@@ -112,12 +112,12 @@
             if self._pending_downstreams is not None:
                 self._pending_downstreams.track(sock)
             try:
-                self.run(partial(self._live, sock))
+                self.run_in_thread(partial(self._live, sock))
             except RuntimeError:
                 self._counters.add("no_thread")
                 self._done(sock)
 
-    def run(self, work: Callable[[], None]) -> None:
+    def run_in_thread(self, work: Callable[[], None]) -> None:
         """In a thread of a downstream's, which counts as busy meanwhile. RuntimeError: there is none to be had."""
         self._count(1)
         try:
@@ -137,7 +137,7 @@
 
     def _count(self, change: int) -> None:
         with self._busy:
-            self.busy += change
+            self.active_count += change
 
     def _live(self, sock: socket.socket) -> None:
         try:
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -31,7 +31,7 @@
 
 @ALL_WIRES
 def test_silent_client_is_disconnected_soon_after_the_accept(wire: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "FIRST_LINE", timedelta(milliseconds=100))
+    monkeypatch.setattr(front, "FIRST_LINE_TIMEOUT", timedelta(milliseconds=100))
     monkeypatch.setattr(nats, "CONNECT_TIMEOUT", timedelta(milliseconds=100))
     Scenario(wire).run("c1 greeted\nc1 send PING\nc1 expect PONG\nc1 raw OP\nc1 late")
 
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -67,7 +67,7 @@
 
 def test_host_that_stops_draining_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """No discovery reports the restart of a host from the configuration file; its INFO does."""
-    monkeypatch.setattr(front, "LOOK_AGAIN", timedelta(milliseconds=20))
+    monkeypatch.setattr(front, "DRAIN_RECHECK_INTERVAL", timedelta(milliseconds=20))
     Scenario("nats").run("""c1 ask
         b0 send INFO {"ldm":true}
         c1 refused
