--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -61,7 +61,7 @@
         inbox: Messages that it has not handled yet, each with its sender.
         plan_cache: The applied log index and the plan as of it.
         plan_cache_index: The log index that ``plan_cache`` was made for.
-        sending_until: Until when a request goes on that it was sending to a machine as that machine was excluded.
+        sending_until: End of the last request that it was sending to a machine when that machine was excluded.
         queued_entries: Entries to be proposed.
         commands: Machines whose command runs at this leader.
         restarts: How often it has been restarted.
--- a/bramblestile/work/plan_state.py
+++ b/bramblestile/work/plan_state.py
@@ -96,8 +96,8 @@
             lease has expired sends nothing to them.
         acknowledged_count: Every balancer that has adopted this plan is known to have received the announcement of the
             machines below this rank. It is replicated so that a new leader knows it too.
-        fallback_count: The last so many machines leave only while every balancer is heard, so that a balancer that is
-            cut off for good still has machines to send to.
+        fallback_count: Number of machines at the end of ``names`` that leave only while every balancer is heard, so
+            that a balancer that is cut off for good still has machines to send to.
         machines: The machines by name.
         roster: The balancers that take part, with the id of the plan that each has adopted.
         bystanders: Members that the operator has excepted from taking part.
