--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -499,15 +499,15 @@
         with self._lock:
             return list(self._all.values())
 
-    def move(self, name: str) -> None:
+    def move(self, connection_id: str) -> None:
         """Queue a move of the connection with this id, so that a slow downstream does not block the caller."""
-        self._moves.put(name)
+        self._moves.put(connection_id)
 
     def _run_moves(self) -> None:
         while True:
-            name = self._moves.get()
+            connection_id = self._moves.get()
             with self._lock:
-                connection = self._all.get(name)
+                connection = self._all.get(connection_id)
             if connection is not None:
                 connection.move()
 
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -61,8 +61,8 @@
 class ActiveRequest:
     """A request between its registration and its end. The module's choices for it are queued here in order."""
 
-    def __init__(self, name: str, deadline: timedelta) -> None:
-        self.id = name
+    def __init__(self, request_id: str, deadline: timedelta) -> None:
+        self.id = request_id
         self.deadline = deadline
         self.choices: SimpleQueue[Choice] = SimpleQueue()
         self.host = ""  # the host that its connection is open to
@@ -133,14 +133,14 @@
             self._counters.add("recall_refused")
             self._log.warning("recall", text=f"ignored: {error!r}")
 
-    def register(self, name: str, deadline: timedelta) -> ActiveRequest | None:
+    def register(self, request_id: str, deadline: timedelta) -> ActiveRequest | None:
         """Reserve a request id until it is unregistered; None while another request holds it.
 
         A client that sends the id of another client's open request must not be able to answer, move or end that one.
         """
-        active = ActiveRequest(name, deadline)
+        active = ActiveRequest(request_id, deadline)
         with self._lock:
-            return active if self._active_requests.setdefault(name, active) is active else None
+            return active if self._active_requests.setdefault(request_id, active) is active else None
 
     def unregister(self, active: ActiveRequest) -> None:
         """Release the id of a request that has ended."""
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -240,7 +240,7 @@
 
 
 def connection(
-    name: str,
+    connection_id: str,
     host: str,
     downstream: socket.socket,
     upstream: Transport,
@@ -249,7 +249,7 @@
 ) -> ProxiedConnection:
     """Create an established connection of this protocol. Its framers keep no state between two reads."""
     return ProxiedConnection(
-        name,
+        connection_id,
         host,
         downstream,
         upstream,
