--- a/bramblestile/cli/main.py
+++ b/bramblestile/cli/main.py
@@ -108,7 +108,7 @@
         raise Refused(str(error)) from None
     click.echo(
         f"{config.path}: {len(trust.authorities)} authorities, names by {config.name}"
-        + (", NOT VERIFIED" if config.unverified else "")
+        + (", NOT VERIFIED" if config.skip_verification else "")
     )
 
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -53,7 +53,7 @@
     except ImportError as error:
         raise ConfigError(f"tls: needs the extra 'tls' of this package ({error.name} is not installed)") from None
     plan = tls.Plan(
-        tls.Files(config.ca, config.cert, config.key, config.crl, config.min_version, config.unverified),
+        tls.Files(config.ca, config.cert, config.key, config.crl, config.min_version, config.skip_verification),
         config.name,
         config.handshake_timeout,
         tls.Rates(config.full_handshakes_per_s, config.handshake_burst, config.resumed_cost),
