--- a/bramblestile/operations/passport.py
+++ b/bramblestile/operations/connection_codec.py
@@ -13,7 +13,7 @@
 from vanegw import interface as api
 
 
-def packed(connection: ProxiedConnection, request: api.Request) -> dict[str, Any]:
+def encode_connection(connection: ProxiedConnection, request: api.Request) -> dict[str, Any]:
     """What it goes on by: what was read and not passed on, the questions that are out, the request as it was."""
     return {
         "stand": connection.id,
@@ -28,7 +28,7 @@
     }
 
 
-def unpacked(
+def decode_connection(
     message: dict[str, Any], downstream: socket.socket, upstream: socket.socket
 ) -> tuple[ProxiedConnection, api.Request]:
     """KeyError, TypeError or ValueError where the message is not whole."""
--- a/bramblestile/operations/succession.py
+++ b/bramblestile/operations/handoff.py
@@ -21,14 +21,14 @@
 from bramblestile.log import Log
 from bramblestile.memory.connections import PauseSignal, ProxiedConnection
 from bramblestile.memory.counters import Counters
-from bramblestile.operations.passport import packed
+from bramblestile.operations.connection_codec import encode_connection
 from vanegw import interface as api
 
-NAME = "bramblestile.next"
-LONGEST = 131072  # bytes of one message: a connection holds at most 16 KiB, twice as many in hexadecimal
+SOCKET_NAME = "bramblestile.next"
+MAX_MESSAGE_BYTES = 131072  # bytes of one message: a connection holds at most 16 KiB, twice as many in hexadecimal
 BACKLOG = 4
-Adopt = Callable[[dict[str, Any], socket.socket, socket.socket], bool]  # goes on with a connection, if it can
-TAKEN_WITHIN = timedelta(milliseconds=2500)  # for a successor that still lives to say that it has a connection
+AdoptConnection = Callable[[dict[str, Any], socket.socket, socket.socket], bool]  # goes on with a connection, if it can
+ADOPTION_TIMEOUT = timedelta(milliseconds=2500)  # for a successor that still lives to say that it has a connection
 
 
 @contextlib.contextmanager
@@ -36,12 +36,12 @@
     """The folder under a path that surely fits a Unix socket's address, which has 108 bytes."""
     opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{opened}/{NAME}"
+        yield f"/proc/self/fd/{opened}/{SOCKET_NAME}"
     finally:
         os.close(opened)
 
 
-class Succession:
+class ProcessHandoff:
     """One process's part in it. ``predecessor`` holds from ``start`` on until that process has ended."""
 
     def __init__(self, folder: Path, counters: Counters) -> None:
@@ -49,7 +49,7 @@
         self._counters = counters
         self._log = Log(part="succession")
         self.pause_signal = PauseSignal()  # what stands here is to be handed on
-        self.adopt: Adopt = lambda message, downstream, upstream: False
+        self.adopt: AdoptConnection = lambda message, downstream, upstream: False
         self.export_state: Callable[[], list[dict[str, Any]]] = list  # what a successor is to know
         self.import_state: Callable[[dict[str, Any]], None] = lambda message: None
         self._recalled = threading.Event()
@@ -60,16 +60,16 @@
         self._ready = threading.Event()  # that successor has said that it takes clients
 
     @property
-    def predecessor(self) -> bool:
+    def has_predecessor(self) -> bool:
         return self._link is not None
 
-    def wait_for_ready(self, within: timedelta) -> bool:
+    def wait_for_ready(self, timeout: timedelta) -> bool:
         """Whether the successor takes clients. It says so before it tells anybody else, but its word may not have been
         read when the signal to leave comes: where there is a successor, it is waited for."""
         with self._lock:
             if self._successor is None:
                 return False
-        return self._ready.wait(within.total_seconds())
+        return self._ready.wait(timeout.total_seconds())
 
     def start(self) -> None:
         """Finds the predecessor, if there is one. Whatever fails is logged, and the process serves on as if alone."""
@@ -85,12 +85,12 @@
         self._link = link
         threading.Thread(target=self._hear_predecessor, args=(link,), name="predecessor", daemon=True).start()
 
-    def wait_for_learned(self, within: timedelta) -> None:
+    def wait_for_state(self, timeout: timedelta) -> None:
         """Returns when the predecessor has told what it knows, or there is none."""
-        if self.predecessor:
-            self._recalled.wait(within.total_seconds())
+        if self.has_predecessor:
+            self._recalled.wait(timeout.total_seconds())
 
-    def hand_on(self) -> None:
+    def hand_over_all(self) -> None:
         """All that stands halts, and goes to the successor; what comes up from now on too."""
         with self._lock:
             link = self._successor
@@ -107,11 +107,11 @@
                 return False
             word = self._waits[standing.id] = SimpleQueue()
         try:
-            raw = _said(packed(standing, request))
-            if len(raw) > LONGEST or not isinstance(standing.upstream, socket.socket):
+            raw = _said(encode_connection(standing, request))
+            if len(raw) > MAX_MESSAGE_BYTES or not isinstance(standing.upstream, socket.socket):
                 return False
             socket.send_fds(link, [raw], [standing.downstream.fileno(), standing.upstream.fileno()])
-            return word.get(timeout=TAKEN_WITHIN.total_seconds())
+            return word.get(timeout=ADOPTION_TIMEOUT.total_seconds())
         except OSError:
             return False  # not sent: it has ended
         except Empty:
@@ -127,7 +127,7 @@
                 link.send(_said({"learned": part}))
             link.send(_said({"learned": None}))
 
-    def tell_ready(self) -> None:
+    def announce_ready(self) -> None:
         """This process takes clients from now on; the predecessor may leave."""
         link = self._link
         if link is not None:
@@ -137,7 +137,7 @@
     def _hear_predecessor(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while True:
-                raw, descriptors, _, _ = socket.recv_fds(link, LONGEST, 2)
+                raw, descriptors, _, _ = socket.recv_fds(link, MAX_MESSAGE_BYTES, 2)
                 if not raw:
                     break
                 self._hear(link, raw, descriptors)
@@ -200,7 +200,7 @@
 
     def _hear_successor(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError, ValueError, AttributeError):
-            while said := link.recv(LONGEST):
+            while said := link.recv(MAX_MESSAGE_BYTES):
                 message = json.loads(said)
                 if "hello" in message:
                     self._tell_learned(link)
--- a/bramblestile/operations/calls.py
+++ b/bramblestile/operations/management_api.py
@@ -11,7 +11,7 @@
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.http import Answer, Call
-from bramblestile.operations.kept import NotKeptError, Orders
+from bramblestile.operations.orders import OrderNotSavedError, Orders
 
 YES = Answer(200, "yes")
 NOWHERE = Answer(404, "no such path")
@@ -31,7 +31,7 @@
         """Its last start, as listed."""
 
     def change_orders(self, change: Callable[[Orders], Orders]) -> None:
-        """Keeps and obeys it; from the return on no send begins that it forbids. NotKeptError: it is not taken."""
+        """Keeps and obeys it; from the return on no send begins that it forbids. OrderNotSavedError: it is not taken."""
 
     def has_no_sends_in_progress(self, host: str) -> bool:
         """No request is being sent there."""
@@ -119,7 +119,7 @@
     def _order(self, change: Callable[[Orders], Orders]) -> Answer | None:
         try:
             self._operated.change_orders(change)
-        except NotKeptError as error:
+        except OrderNotSavedError as error:
             return Answer(503, f"not taken, as it cannot be kept: {error}")
         return None
 
--- a/bramblestile/operations/evacuation.py
+++ b/bramblestile/operations/move_schedule.py
@@ -16,21 +16,21 @@
 T = TypeVar("T")
 
 
-class Evacuation:
+class MoveSchedule:
     """Nobody is due before ``first``; all that stands is due from ``last`` on."""
 
     def __init__(self, first: timedelta, last: timedelta) -> None:
-        self.first, self.last = first, max(first, last)
-        self._told = self.first  # up to when those due have been told
+        self.starts_at, self.ends_at = first, max(first, last)
+        self._told = self.starts_at  # up to when those due have been told
         self._owed = 0.0  # the part of a move that the time so far has not made whole
 
     def due(self, at: timedelta, standing: Sequence[T]) -> Sequence[T]:
         """Those of ``standing``, none of whom has been told to move yet, who are to be told now."""
-        if at < self.first or not standing:
+        if at < self.starts_at or not standing:
             return ()
-        if at >= self.last:
+        if at >= self.ends_at:
             return standing
-        left, passed = self.last - self._told, max(ZERO_DURATION, at - self._told)
+        left, passed = self.ends_at - self._told, max(ZERO_DURATION, at - self._told)
         self._told = at
         self._owed += len(standing) * (passed / left)
         number = min(int(self._owed), len(standing))
--- a/bramblestile/operations/kept.py
+++ b/bramblestile/operations/orders.py
@@ -22,14 +22,14 @@
 from bramblestile.clock import MICROSECOND, now
 from bramblestile.log import Log
 
-VERSION = 1
-LARGEST = 1 << 20  # bytes; a thousand ids take 30 KB
-MOST = 4096  # ids out at once: more than any list has hosts, and each was listed when it was taken out
-LOCK_BOUND = timedelta(milliseconds=200)  # for the other process to have written: an answer is owed within 1 s
-BACK_KEPT = timedelta(minutes=10)  # for how long a call back is remembered: by then every host is warm
+FILE_VERSION = 1
+MAX_FILE_BYTES = 1 << 20  # bytes; a thousand ids take 30 KB
+MAX_SUSPENDED_HOSTS = 4096  # ids out at once: more than any list has hosts, and each was listed when it was taken out
+LOCK_TIMEOUT = timedelta(milliseconds=200)  # for the other process to have written: an answer is owed within 1 s
+RESUMED_RETENTION = timedelta(minutes=10)  # for how long a call back is remembered: by then every host is warm
 
 
-class NotKeptError(Exception):
+class OrderNotSavedError(Exception):
     """An order cannot be kept; the text says why."""
 
 
@@ -39,16 +39,16 @@
     count as born. ``drained``: clients are sent away."""
 
     suspended: dict[str, timedelta] = field(default_factory=dict)
-    back: dict[str, timedelta] = field(default_factory=dict)
+    resumed: dict[str, timedelta] = field(default_factory=dict)
     drained: bool = False
 
     def suspend(self, host: str, at: timedelta) -> Orders:
         """One that is out stays out from when it went."""
         if host in self.suspended:
             return self
-        if len(self.suspended) >= MOST:
-            raise NotKeptError(f"{MOST} image servers are out already")
-        return replace(self, suspended=self.suspended | {host: at}, back=_without(self.back, host))
+        if len(self.suspended) >= MAX_SUSPENDED_HOSTS:
+            raise OrderNotSavedError(f"{MAX_SUSPENDED_HOSTS} image servers are out already")
+        return replace(self, suspended=self.suspended | {host: at}, resumed=_without(self.resumed, host))
 
     def resume(self, host: str, at: timedelta, born: timedelta | None) -> Orders:
         """``born``: as listed. It is restarted while it is out, and counts from then where the list tells it, else from
@@ -56,11 +56,11 @@
         since = self.suspended.get(host)
         if since is None:
             return self
-        back = {h: t for h, t in self.back.items() if at - t < BACK_KEPT}
+        resumed = {h: t for h, t in self.resumed.items() if at - t < RESUMED_RETENTION}
         return replace(
             self,
             suspended=_without(self.suspended, host),
-            back=back | {host: born if born is not None and since < born < at else at},
+            resumed=resumed | {host: born if born is not None and since < born < at else at},
         )
 
 
@@ -68,27 +68,27 @@
     return {h: t for h, t in table.items() if h != host}
 
 
-def written(orders: Orders) -> bytes:
+def encode_orders(orders: Orders) -> bytes:
     def table(times: dict[str, timedelta]) -> dict[str, int]:
         return {h: t // MICROSECOND for h, t in sorted(times.items())}
 
     return json.dumps(
         {
-            "version": VERSION,
+            "version": FILE_VERSION,
             "suspended_us": table(orders.suspended),
-            "back_us": table(orders.back),
+            "back_us": table(orders.resumed),
             "drained": orders.drained,
         }
     ).encode()
 
 
-def read(raw: bytes) -> Orders:
+def decode_orders(raw: bytes) -> Orders:
     """ValueError says what is wrong with it; half a file is never taken for a whole one."""
     try:
         got: Any = json.loads(raw)
     except RecursionError:
         raise ValueError("nested too deeply") from None
-    if not isinstance(got, dict) or got.get("version") != VERSION:
+    if not isinstance(got, dict) or got.get("version") != FILE_VERSION:
         raise ValueError("not a file of this version")
     tables: list[dict[str, timedelta]] = []
     for key in ("suspended_us", "back_us"):
@@ -102,7 +102,7 @@
     return Orders(tables[0], tables[1], drained)
 
 
-class Kept:
+class OrderStore:
     """The orders in force. ``folder`` None: they end with the process."""
 
     def __init__(self, folder: Path | None, name: str) -> None:
@@ -111,9 +111,9 @@
         self._log = Log(part="orders")
         self._seen: tuple[int, int, int] | None = None
         self.orders = Orders()
-        self.look()
+        self.reload()
 
-    def look(self) -> bool:
+    def reload(self) -> bool:
         """Takes what another process has written since; True where that is news. A file that cannot be read, or is none
         of ours, changes nothing."""
         if self._path is None:
@@ -135,10 +135,10 @@
 
     def _read(self, path: Path) -> Orders:
         with open(path, "rb") as file:
-            raw = file.read(LARGEST + 1)
-        if len(raw) > LARGEST:
-            raise ValueError(f"more than {LARGEST} bytes")
-        return read(raw)
+            raw = file.read(MAX_FILE_BYTES + 1)
+        if len(raw) > MAX_FILE_BYTES:
+            raise ValueError(f"more than {MAX_FILE_BYTES} bytes")
+        return decode_orders(raw)
 
     def change(self, changed: Callable[[Orders], Orders]) -> Orders:
         """Takes an order on what is in force, the other process's orders among it, and keeps it. NotKeptError: it is
@@ -148,20 +148,20 @@
             return self.orders
         try:
             with self._locked(self._path):
-                self.look()
+                self.reload()
                 new = changed(self.orders)
                 if new != self.orders or not self._path.exists():
-                    self._write(self._path, written(new))
+                    self._write(self._path, encode_orders(new))
                 self.orders = new
         except OSError as error:
-            raise NotKeptError(f"{self._path.name}: {error.strerror or error}") from None
+            raise OrderNotSavedError(f"{self._path.name}: {error.strerror or error}") from None
         return self.orders
 
     @contextlib.contextmanager
     def _locked(self, path: Path) -> Iterator[None]:
         lock = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            until = now() + LOCK_BOUND
+            until = now() + LOCK_TIMEOUT
             while True:
                 try:
                     fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -19,7 +19,7 @@
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
 from bramblestile.operations import http
-from bramblestile.operations.calls import Operators, Pending
+from bramblestile.operations.management_api import Operators, Pending
 from bramblestile.sockets import Address
 
 MOST = 64  # callers at once
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -23,12 +23,12 @@
 from bramblestile.log import Log
 from bramblestile.memory.connections import ProxiedConnection
 from bramblestile.memory.counters import Counters
-from bramblestile.operations.calls import Operators
-from bramblestile.operations.evacuation import Evacuation
-from bramblestile.operations.kept import Kept, Orders
-from bramblestile.operations.passport import unpacked
+from bramblestile.operations.connection_codec import decode_connection
+from bramblestile.operations.handoff import ProcessHandoff
+from bramblestile.operations.management_api import Operators
+from bramblestile.operations.move_schedule import MoveSchedule
+from bramblestile.operations.orders import Orders, OrderStore
 from bramblestile.operations.server import Server, pass_on_call
-from bramblestile.operations.succession import Succession
 from bramblestile.process.config import (
     Config,
     ConfigError,
@@ -166,7 +166,7 @@
         self._recalling = threading.Lock()
         self._recalled: list[dict[str, Any]] | None = []  # what the process before knew, until it can be taken
         self._asked = 0, now()  # requests that had come when the fleet was last told
-        self.kept = Kept(
+        self.order_store = OrderStore(
             config.state_directory if config.management is not None else None,
             "nats" if config.lines is None else config.lines.name,
         )
@@ -174,10 +174,10 @@
         self._ordered: SimpleQueue[list[tuple[Front, list[str]]]] = SimpleQueue()
         self._drained_since: timedelta | None = None
         # Who is to be moved, and by which plan: all clients (None) or those of a host, and since when.
-        self._plans: dict[tuple[str | None, timedelta], Evacuation] = {}
+        self._plans: dict[tuple[str | None, timedelta], MoveSchedule] = {}
         self._planned = threading.Event()
         self.management: Server | None = None
-        self.succession: Succession | None = None
+        self.handoff: ProcessHandoff | None = None
         self.gossip = (
             None
             if config.fleet is None
@@ -197,13 +197,13 @@
             except ValueError as error:
                 raise ConfigError(f"EDGE_SOCKET_FD: {error}") from None
             if config.state_directory is not None:
-                self.succession = Succession(config.state_directory, self.counters)
-                self.succession.adopt = self._adopt
-                self.succession.export_state, self.succession.import_state = (
+                self.handoff = ProcessHandoff(config.state_directory, self.counters)
+                self.handoff.adopt = self._adopt
+                self.handoff.export_state, self.handoff.import_state = (
                     self.lines.decisions.export_state,
                     self._recall,
                 )
-                self.lines.context.successor = self.succession
+                self.lines.context.successor = self.handoff
 
     def start(self) -> None:
         self._trace(self.config.trace)  # first: the trace begins with the list that the fronts start from
@@ -220,9 +220,9 @@
             self.management.start()
             for run in (self._run_orders, self._run_plans):
                 threading.Thread(target=run, name=run.__name__, daemon=True).start()
-        self._obey(self.kept.orders)
-        if self.succession is not None:
-            self.succession.start()
+        self._obey(self.order_store.orders)
+        if self.handoff is not None:
+            self.handoff.start()
         for front in self.fronts:
             front.start()
         if self.gossip is not None:
@@ -251,21 +251,21 @@
         """Ready is who could serve at once: the list is heard, or will not be for a while. Beside a process that still
         serves, nothing is taken from the socket of both before that."""
         until = now() + HEARD_WITHIN
-        if self.succession is not None and not self.succession.predecessor:
+        if self.handoff is not None and not self.handoff.has_predecessor:
             self._take_from_inherited()
         for front in self.fronts:
             front.list_received.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.maintenance is not None:  # or it might send where nobody else does
             self.maintenance.first_reply.wait(max(ZERO_DURATION, until - now()).total_seconds())
-        if self.succession is not None:
-            self.succession.wait_for_learned(RECALL_WITHIN)
+        if self.handoff is not None:
+            self.handoff.wait_for_state(RECALL_WITHIN)
         with self._recalling:  # only now: what it tells of hosts holds for those that are listed
             early, self._recalled = self._recalled, None
         for part in early or ():
             self._recall(part)
         self._take_from_inherited()
-        if self.succession is not None:
-            self.succession.tell_ready()  # first: whoever hears of it from us may end the process before at once
+        if self.handoff is not None:
+            self.handoff.announce_ready()  # first: whoever hears of it from us may end the process before at once
         self.ready.set()
 
     def _recall(self, part: dict[str, Any]) -> None:
@@ -279,7 +279,7 @@
     def _adopt(self, message: dict[str, Any], downstream: socket.socket, upstream: socket.socket) -> bool:
         """Goes on with a connection of the process before."""
         assert self.lines is not None and self.lines.listener is not None
-        standing, request = unpacked(message, downstream, upstream)
+        standing, request = decode_connection(message, downstream, upstream)
         for side in (downstream, upstream):
             sockets.set_options(side)
         return adopt_connection(self.lines.context, standing, request, self.lines.listener.run_in_thread)
@@ -308,17 +308,17 @@
 
     def change_orders(self, change: Callable[[Orders], Orders]) -> None:
         with self._ordering:
-            self._obey(self.kept.change(change))
+            self._obey(self.order_store.change(change))
 
     def _obey(self, orders: Orders) -> None:
         """The clusters first: they are asked at every send. The module hears of it in the orders' own thread."""
         constraints = self._constraints
         closed_hosts, back, weight_factors, draining_since = (
-            (orders.suspended, orders.back, None, {})
+            (orders.suspended, orders.resumed, None, {})
             if constraints is None
             else (
                 constraints.closed_hosts | orders.suspended.keys(),
-                {**orders.back, **constraints.returned_at},
+                {**orders.resumed, **constraints.returned_at},
                 constraints.weight_factors,
                 constraints.draining_since,
             )
@@ -329,13 +329,13 @@
             self._drained_since = now() if drained else None
             for front in self.fronts:
                 front.is_drained = drained
-        plans: dict[tuple[str | None, timedelta], Evacuation] = {
-            (host, since): Evacuation(since + LEFT_FROM, since + LEFT_BY)
+        plans: dict[tuple[str | None, timedelta], MoveSchedule] = {
+            (host, since): MoveSchedule(since + LEFT_FROM, since + LEFT_BY)
             for host, since in {**draining_since, **orders.suspended}.items()
         }
         if self._drained_since is not None:
             began = self._drained_since
-            plans[None, began] = Evacuation(began + DRAINED_FROM, began + DRAINED_BY)
+            plans[None, began] = MoveSchedule(began + DRAINED_FROM, began + DRAINED_BY)
         self._plans = {key: self._plans.get(key, plan) for key, plan in plans.items()}
         self._planned.set()
         self._ordered.put(changed)
@@ -347,8 +347,8 @@
                     front.decisions.refresh_hosts(hosts)
             except Empty:
                 with self._ordering:
-                    if self.kept.look():
-                        self._obey(self.kept.orders)
+                    if self.order_store.reload():
+                        self._obey(self.order_store.orders)
 
     def _run_plans(self) -> None:
         """Moves by the plans that orders make, also what comes up late or is handed on, until they are called back. One
@@ -492,12 +492,12 @@
                         front.probes.request(host.id, even_if_queued=False)
 
     def suspended_hosts(self) -> list[str]:
-        return sorted(self.kept.orders.suspended)
+        return sorted(self.order_store.orders.suspended)
 
     def apply_constraints(self, constraints: RoutingConstraints) -> None:
         with self._ordering:
             self._constraints = constraints
-            self._obey(self.kept.orders)
+            self._obey(self.order_store.orders)
 
     def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
         """Asked of the leader, wherever it is. What is returned is asked over and over and waits for nothing."""
@@ -547,7 +547,7 @@
         if self.gossip is not None:
             self.gossip.stop()
         self.is_shutting_down = True  # said at once; what still comes is taken
-        succeeded = self.succession is not None and self.succession.wait_for_ready(READY_WITHIN)
+        succeeded = self.handoff is not None and self.handoff.wait_for_ready(READY_WITHIN)
         listeners = [front.listener for front in self.fronts if front.listener is not None]
         threading.Thread(
             target=self._stop_listening,
@@ -556,21 +556,23 @@
             daemon=True,
         ).start()
         leaving = self.longest_deadline() + LEAVING_BEYOND
-        if succeeded and self.succession is not None:
-            self.succession.hand_on()
+        if succeeded and self.handoff is not None:
+            self.handoff.hand_over_all()
         # The moved come back at once, all of them: spread as widely as the time allows, they are no storm.
-        plan = Evacuation(began + (MOVES_TO_SUCCESSOR if succeeded else MOVES_FROM), began + leaving - LAST_MOVES)
-        while now() < began + leaving and (now() < plan.first or any(listener.active_count for listener in listeners)):
+        plan = MoveSchedule(began + (MOVES_TO_SUCCESSOR if succeeded else MOVES_FROM), began + leaving - LAST_MOVES)
+        while now() < began + leaving and (
+            now() < plan.starts_at or any(listener.active_count for listener in listeners)
+        ):
             self._evacuate(plan, "stop")
             time.sleep(TICK.total_seconds())
 
-    def _evacuate(self, plan: Evacuation, reason: str, host: str | None = None) -> None:
+    def _evacuate(self, plan: MoveSchedule, reason: str, host: str | None = None) -> None:
         """Moves those who are due by now, on this host or at all."""
         at = now()
         standing = [
             one
             for one in self._standing()
-            if host in (None, one.host) and not (one.moved or one.paused or (one.move_requested and at < plan.last))
+            if host in (None, one.host) and not (one.moved or one.paused or (one.move_requested and at < plan.ends_at))
         ]
         for one in plan.due(at, standing):
             self._move(one, reason)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,9 +13,9 @@
 
 from bramblestile.cli.main import main as cli
 from bramblestile.memory.counters import Counters
-from bramblestile.operations import calls, http, server
-from bramblestile.operations.calls import Operators
-from bramblestile.operations.kept import NotKeptError, Orders
+from bramblestile.operations import http, management_api, server
+from bramblestile.operations.management_api import Operators
+from bramblestile.operations.orders import OrderNotSavedError, Orders
 from bramblestile.operations.server import Server
 
 PUT = (
@@ -78,7 +78,7 @@
 
     def change_orders(self, change: Callable[[Orders], Orders]) -> None:
         if self.full:
-            raise NotKeptError("no room")
+            raise OrderNotSavedError("no room")
         self.orders = change(self.orders)
 
     def started_at(self, host: str) -> timedelta | None:
@@ -170,7 +170,7 @@
         assert status(call(made, put("image-servers/s%2F1/suspend"))) == 200
     assert list(balancer.orders.suspended) == ["s/1"]
     assert status(call(made, put("image-servers/s%2F1/resume"))) == 200
-    assert not balancer.orders.suspended and list(balancer.orders.back) == ["s/1"]
+    assert not balancer.orders.suspended and list(balancer.orders.resumed) == ["s/1"]
     for path in ("image-servers/s-2/suspend", "image-servers/s-2/resume", "image-servers//suspend", "balancer/stop"):
         assert status(call(made, put(path))) == 404
     assert status(call(made, put("image-servers/s%2F1/resume").replace(b"PUT", b"POST"))) == 405
@@ -188,7 +188,7 @@
         assert list(balancer.orders.suspended) == ["s/1"]  # taken, while its yes is still to come
         balancer.quiet = True
         assert status(waits.recv(4096)) == 200
-    monkeypatch.setattr(calls, "QUIET_BOUND", server.TICK)
+    monkeypatch.setattr(management_api, "QUIET_BOUND", server.TICK)
     balancer.quiet = False
     assert status(call(made, put("image-servers/s%2F1/suspend"))) == 503
 
--- a/tests/test_evacuation.py
+++ b/tests/test_move_schedule.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bramblestile.operations.evacuation import Evacuation
+from bramblestile.operations.move_schedule import MoveSchedule
 
 MS = timedelta(milliseconds=1)
 
 
 def test_the_standing_are_spread_evenly_over_the_time_there_is() -> None:
-    plan, standing = Evacuation(100 * MS, 1100 * MS), list(range(50))
+    plan, standing = MoveSchedule(100 * MS, 1100 * MS), list(range(50))
     left = []
     for at in range(0, 1101, 20):
         for one in plan.due(at * MS, list(standing)):
@@ -26,7 +26,7 @@
 
 @given(st.lists(st.integers(0, 400), min_size=1, max_size=40), st.lists(st.integers(0, 1500), max_size=60))
 def test_whoever_stands_at_the_end_is_due_however_late_it_came(came: list[int], looks: list[int]) -> None:
-    plan, gone = Evacuation(100 * MS, 1000 * MS), set[int]()
+    plan, gone = MoveSchedule(100 * MS, 1000 * MS), set[int]()
     for at in sorted([*looks, 1000]):
         here = [n for n, since in enumerate(came) if since <= at and n not in gone]
         due = plan.due(at * MS, here)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,8 +17,8 @@
 
 from bramblestile.clock import now
 from bramblestile.memory.cluster import Cluster, UpstreamHost
-from bramblestile.operations import kept
-from bramblestile.operations.kept import Kept, NotKeptError, Orders
+from bramblestile.operations import orders
+from bramblestile.operations.orders import OrderNotSavedError, Orders, OrderStore
 from bramblestile.process.config import parse_config
 from bramblestile.process.daemon import Daemon
 from tests.scenario import Scenario
@@ -74,14 +74,14 @@
 
 
 def test_every_cut_of_the_file_is_served_on_without_and_mended_by_the_next_order(memory_path: Path) -> None:
-    raw = kept.written(ORDERS)
-    assert kept.read(raw) == ORDERS
+    raw = orders.encode_orders(ORDERS)
+    assert orders.decode_orders(raw) == ORDERS
     path = memory_path / "bramblestile-n1.orders"
     for cut in range(len(raw)):
         path.write_bytes(raw[:cut])
-        assert Kept(memory_path, "n1").orders == Orders(), cut
-    assert Kept(memory_path, "n1").change(lambda o: o.suspend("c", S)).suspended == {"c": S}
-    assert Kept(memory_path, "n1").orders.suspended == {"c": S}
+        assert OrderStore(memory_path, "n1").orders == Orders(), cut
+    assert OrderStore(memory_path, "n1").change(lambda o: o.suspend("c", S)).suspended == {"c": S}
+    assert OrderStore(memory_path, "n1").orders.suspended == {"c": S}
 
 
 @given(
@@ -103,15 +103,15 @@
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture])
 def test_a_file_of_something_else_changes_nothing(tmp_path: Path, raw: bytes) -> None:
     (tmp_path / "bramblestile-n1.orders").write_bytes(raw)
-    assert Kept(tmp_path, "n1").orders == Orders()
+    assert OrderStore(tmp_path, "n1").orders == Orders()
 
 
 def test_two_processes_lose_no_order_of_each_other(tmp_path: Path) -> None:
     def order(first: int) -> None:
-        mine = Kept(tmp_path, "n1")
+        mine = OrderStore(tmp_path, "n1")
         for number in range(first, first + 50):
             while f"h{number}" not in mine.orders.suspended:
-                with contextlib.suppress(NotKeptError):  # the other has had the lock all the while
+                with contextlib.suppress(OrderNotSavedError):  # the other has had the lock all the while
                     mine.change(partial(Orders.suspend, host=f"h{number}", at=S))
 
     threads = [threading.Thread(target=order, args=(n,)) for n in (0, 50)]
@@ -119,23 +119,23 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert len(Kept(tmp_path, "n1").orders.suspended) == 100
+    assert len(OrderStore(tmp_path, "n1").orders.suspended) == 100
     assert not [f for f in os.listdir(tmp_path) if f.endswith(str(os.getpid()))]
 
 
 def test_what_the_other_process_was_ordered_is_seen_at_the_next_look(tmp_path: Path) -> None:
-    one, other = Kept(tmp_path, "n1"), Kept(tmp_path, "n1")
+    one, other = OrderStore(tmp_path, "n1"), OrderStore(tmp_path, "n1")
     one.change(lambda orders: orders.suspend("a", S))
-    assert other.look() and other.orders.suspended == {"a": S} and not other.look() and not one.look()
+    assert other.reload() and other.orders.suspended == {"a": S} and not other.reload() and not one.reload()
 
 
 def test_an_order_that_cannot_be_written_is_not_taken(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    mine = Kept(tmp_path / "gone", "n1")
-    with pytest.raises(NotKeptError, match=r"n1\.orders: No such file"):
+    mine = OrderStore(tmp_path / "gone", "n1")
+    with pytest.raises(OrderNotSavedError, match=r"n1\.orders: No such file"):
         mine.change(lambda orders: orders.suspend("a", S))
-    there = Kept(tmp_path, "n1")
+    there = OrderStore(tmp_path, "n1")
     monkeypatch.setattr(os, "write", lambda *_: 3)  # a full disk takes a part
-    with pytest.raises(NotKeptError, match="no room"):
+    with pytest.raises(OrderNotSavedError, match="no room"):
         there.change(lambda orders: orders.suspend("a", S))
     assert (
         not mine.orders.suspended
@@ -145,10 +145,10 @@
 
 
 def test_only_so_many_hosts_can_be_out_and_calls_back_are_forgotten() -> None:
-    with pytest.raises(NotKeptError, match="out already"):
-        Orders(dict.fromkeys(map(str, range(kept.MOST)), S)).suspend("one more", S)
-    again = Orders({"a": S}, {"b": 1 * S}).resume("a", kept.BACK_KEPT + 2 * S, None)
-    assert again.back == {"a": kept.BACK_KEPT + 2 * S}
+    with pytest.raises(OrderNotSavedError, match="out already"):
+        Orders(dict.fromkeys(map(str, range(orders.MAX_SUSPENDED_HOSTS)), S)).suspend("one more", S)
+    again = Orders({"a": S}, {"b": 1 * S}).resume("a", orders.RESUMED_RETENTION + 2 * S, None)
+    assert again.resumed == {"a": orders.RESUMED_RETENTION + 2 * S}
     assert Orders().resume("a", S, None) == Orders()  # it was not out, so nothing restarted it
 
 
@@ -157,7 +157,7 @@
     listed: int | None, counts: int
 ) -> None:
     started_at = None if listed is None else listed * S
-    assert Orders({"a": 5 * S}).resume("a", 9 * S, started_at).back == {"a": counts * S}
+    assert Orders({"a": 5 * S}).resume("a", 9 * S, started_at).resumed == {"a": counts * S}
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
@@ -192,7 +192,7 @@
         balancer.processes[-1].kill()  # no word to anyone
         balancer.processes[-1].wait()
         balancer.start()
-        assert Kept(tmp_path / "tmp", "n1").orders.back["a"] >= before - S
+        assert OrderStore(tmp_path / "tmp", "n1").orders.resumed["a"] >= before - S
         served(30)
         assert hosts["a"].asked
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from bramblestile.operations import succession
+from bramblestile.operations import handoff
 from tests.upgrade import SETTINGS, Balancer, Client, Host, serving
 
 
@@ -162,16 +162,16 @@
     process = balancer.start()
     client = Client(balancer, 1)
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
-        link.connect(str(balancer.folder / "tmp" / succession.NAME))
+        link.connect(str(balancer.folder / "tmp" / handoff.SOCKET_NAME))
         link.send(b'{"hello": 1}')
-        while b"null" not in (said := link.recv(succession.LONGEST)):
+        while b"null" not in (said := link.recv(handoff.MAX_MESSAGE_BYTES)):
             assert said, "it hung up"
         # Seen: under load the signal was heard before the word; nothing was handed on, and all that stood was moved.
         process.send_signal(signal.SIGTERM)
         while balancer.call("GET /v1/readyz") == 200:
             pass
         link.send(b'{"ready": true}')
-        while b"stand" not in (said := link.recv(succession.LONGEST)):
+        while b"stand" not in (said := link.recv(handoff.MAX_MESSAGE_BYTES)):
             assert said, "it left without a word"
         assert client.echoes() if link.send(json.dumps({"refused": json.loads(said)["stand"]}).encode()) else False
         assert client.read.readline() == b"MOVE\r\n"
@@ -193,15 +193,15 @@
 def test_what_another_version_tells_of_itself_keeps_nobody_from_becoming_ready(balancer: Balancer, part: bytes) -> None:
     """An upgrade is a change of versions: what is told in another form is served on without."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as older:
-        older.bind(str(balancer.folder / "tmp" / succession.NAME))
+        older.bind(str(balancer.folder / "tmp" / handoff.SOCKET_NAME))
         older.listen(1)
 
         def tell() -> None:
             link = older.accept()[0]
-            link.recv(succession.LONGEST)
+            link.recv(handoff.MAX_MESSAGE_BYTES)
             link.send(b'{"learned": ' + part + b"}")
             link.send(b'{"learned": null}')
-            link.recv(succession.LONGEST)
+            link.recv(handoff.MAX_MESSAGE_BYTES)
 
         threading.Thread(target=tell, daemon=True).start()
         balancer.start()
