--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -83,7 +83,7 @@
     with tempfile.TemporaryDirectory() as folder, serving(Path(folder), "h0", "h1", "h2") as (balancer, _):
         balancer.start()
         print("idle:", measure_response_times(balancer, duration_s))
-        slow_callers = [socket.create_connection(balancer.managed[-1]) for _ in range(server.MOST)]
+        slow_callers = [socket.create_connection(balancer.managed[-1]) for _ in range(server.MAX_CALLERS)]
         for sock in slow_callers:
             with contextlib.suppress(OSError):
                 sock.sendall(b"PUT /v1/bal")
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -19,30 +19,30 @@
 from bramblestile.log import Log
 from bramblestile.memory.counters import Counters
 from bramblestile.operations import http
-from bramblestile.operations.management_api import Operators, Pending
+from bramblestile.operations.management_api import ManagementApi, PendingResponse
 from bramblestile.sockets import Address
 
-MOST = 64  # callers at once
-SET_ASIDE = 8  # descriptors that only callers get
-WHOLE = timedelta(milliseconds=2500)  # from the accept to a whole call: bad clients get an error within 3 s
-SAID = timedelta(milliseconds=900)  # from the accept to the answer's last byte, as an answer is owed within 1 s
-LINGER = timedelta(milliseconds=300)  # after our answer, for its reader
-TICK = timedelta(milliseconds=5)  # between two looks at an answer that waits
-LARGEST_ANSWER = 1 << 21  # bytes of another balancer's
-AGAIN = timedelta(milliseconds=500)  # between two tries for an address that another still has
+MAX_CALLERS = 64  # callers at once
+RESERVED_DESCRIPTORS = 8  # descriptors that only callers get
+REQUEST_TIMEOUT = timedelta(milliseconds=2500)  # from the accept to a whole call: bad clients get an error within 3 s
+RESPONSE_TIMEOUT = timedelta(milliseconds=900)  # from the accept to the answer's last byte; callers expect it in 1 s
+LINGER_TIMEOUT = timedelta(milliseconds=300)  # after our answer, for its reader
+POLL_INTERVAL = timedelta(milliseconds=5)  # between two looks at an answer that waits
+MAX_FORWARDED_RESPONSE_BYTES = 1 << 21  # bytes of another balancer's
+BIND_RETRY_INTERVAL = timedelta(milliseconds=500)  # between two tries for an address that another still has
 
 
-def pass_on_call(at: str, method: str, path: str, body: str) -> tuple[int, str]:
+def forward_call(at: str, method: str, path: str, body: str) -> tuple[int, str]:
     """The answer of another balancer's management address, ``HOST:PORT``, within ``SAID``; blocks that long."""
     host, _, port = at.rpartition(":")
-    until = now() + SAID
+    until = now() + RESPONSE_TIMEOUT
     raw = body.encode() if method == "PUT" else b""
     try:
-        with sockets.dial((host, int(port)), SAID) as sock:
+        with sockets.dial((host, int(port)), RESPONSE_TIMEOUT) as sock:
             sock.settimeout(max(0.01, (until - now()).total_seconds()))
             sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: {len(raw)}\r\n\r\n".encode() + raw)
             got = b""
-            while len(got) < LARGEST_ANSWER and (piece := sock.recv(65536)):
+            while len(got) < MAX_FORWARDED_RESPONSE_BYTES and (piece := sock.recv(65536)):
                 got += piece
         head, _, said = got.partition(b"\r\n\r\n")
         return int(head.split(b" ", 2)[1]), said.decode("utf-8", "replace").rstrip("\n")
@@ -57,17 +57,19 @@
 
     def __init__(self, sock: socket.socket, peer: str) -> None:
         self.sock, self.peer, self.since = sock, peer, now()
-        self.parser = http.Parser()
-        self.call: http.Call | None = None
-        self.pending: Pending | None = None
+        self.parser = http.RequestParser()
+        self.call: http.HttpRequest | None = None
+        self.pending: PendingResponse | None = None
         self.out = b""  # what is still to be written
         self.answered: timedelta | None = None
 
 
-class Server:
+class ManagementServer:
     """OSError where it can't listen at ``address``, unless ``patient``: then it goes on trying until it can."""
 
-    def __init__(self, address: Address, operators: Operators, counters: Counters, patient: bool = False) -> None:
+    def __init__(
+        self, address: Address, operators: ManagementApi, counters: Counters, retry_bind: bool = False
+    ) -> None:
         self._wanted, self._operators, self._counters = address, operators, counters
         self._log = Log(listener="management")
         self._callers: dict[int, _Caller] = {}
@@ -81,7 +83,7 @@
         try:
             self._listen()
         except OSError as error:
-            if not (patient and error.errno == errno.EADDRINUSE):
+            if not (retry_bind and error.errno == errno.EADDRINUSE):
                 raise
             self._log.warning("management", text=f"{address[0]}:{address[1]} is still taken; trying on")
 
@@ -90,7 +92,7 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(self._wanted)
-            sock.listen(MOST)
+            sock.listen(MAX_CALLERS)
         except OSError:
             sock.close()
             raise
@@ -114,7 +116,7 @@
 
     def _set_aside(self) -> None:
         try:
-            while len(self._spare) < SET_ASIDE:
+            while len(self._spare) < RESERVED_DESCRIPTORS:
                 self._spare.append(os.dup(self._wake_read))
         except OSError:
             return  # none to be had now: tried again when a caller ends
@@ -136,7 +138,7 @@
 
     def _turn(self) -> None:
         if self._sock is None and now() >= self._try_at:
-            self._try_at = now() + AGAIN
+            self._try_at = now() + BIND_RETRY_INTERVAL
             try:
                 self._listen()
             except OSError as error:
@@ -153,7 +155,7 @@
     def _until_next(self) -> int:
         """Milliseconds until something is due without anybody's bytes."""
         if any(c.pending is not None for c in self._callers.values()):
-            return TICK // timedelta(milliseconds=1)
+            return POLL_INTERVAL // timedelta(milliseconds=1)
         return 100 if self._callers or self._sock is None else 1000
 
     def _accept(self) -> None:
@@ -168,7 +170,7 @@
                     self._give_way()
             return
         sock.setblocking(False)
-        if len(self._callers) >= MOST:
+        if len(self._callers) >= MAX_CALLERS:
             self._give_way()
         self._callers[sock.fileno()] = _Caller(sock, f"{host}:{port}")
         self._poll.register(sock, select.POLLIN)
@@ -180,7 +182,7 @@
         if old is not None:
             self._counters.add("management_gave_way")
             if old.call is None and old.answered is None:
-                self._answer(old, http.Answer(503, "too many callers"))
+                self._answer(old, http.HttpResponse(503, "too many callers"))
             self._end(old)
 
     def _hear(self, caller: _Caller, events: int) -> None:
@@ -205,19 +207,19 @@
             return  # a connection carries one call: what follows is read, so that our end is no reset, and dropped
         try:
             caller.call = caller.parser.feed(got)
-        except http.FaultError as fault:
-            self._answer(caller, fault.answer)
+        except http.HttpError as fault:
+            self._answer(caller, fault.response)
             return
         if caller.call is not None:
             self._begin(caller, caller.call)
         elif caller.parser.wants_continue:
             caller.parser.wants_continue = False
-            caller.out += http.CONTINUE
+            caller.out += http.CONTINUE_RESPONSE
             self._write(caller)
 
-    def _begin(self, caller: _Caller, call: http.Call) -> None:
-        found = self._operators.take(call)
-        if isinstance(found, http.Answer):
+    def _begin(self, caller: _Caller, call: http.HttpRequest) -> None:
+        found = self._operators.handle(call)
+        if isinstance(found, http.HttpResponse):
             self._answer(caller, found)
         else:
             caller.pending = found
@@ -228,17 +230,19 @@
             if found is not None:
                 caller.pending = None
                 self._answer(caller, found)
-        elif caller.call is None and caller.answered is None and at - caller.since >= WHOLE:
-            self._answer(caller, http.Answer(408, "no whole call came"))
-        elif caller.answered is not None and at - caller.answered >= (LINGER if not caller.out else SAID):
+        elif caller.call is None and caller.answered is None and at - caller.since >= REQUEST_TIMEOUT:
+            self._answer(caller, http.HttpResponse(408, "no whole call came"))
+        elif caller.answered is not None and at - caller.answered >= (
+            LINGER_TIMEOUT if not caller.out else RESPONSE_TIMEOUT
+        ):
             self._end(caller)  # it has had its answer, or does not read it
 
-    def _answer(self, caller: _Caller, answer: http.Answer) -> None:
+    def _answer(self, caller: _Caller, answer: http.HttpResponse) -> None:
         call = caller.call
         path = "/" + "/".join(call.path) if call else ""
-        self._operators.told(caller.peer, call.method if call else "", path, answer)
+        self._operators.record_response(caller.peer, call.method if call else "", path, answer)
         caller.answered = now()
-        caller.out += http.written(answer, caller.parser.method)
+        caller.out += http.encode_response(answer, caller.parser.method)
         self._write(caller)
 
     def _write(self, caller: _Caller) -> None:
@@ -251,7 +255,7 @@
             return
         except OSError:
             caller.out = b""
-            caller.answered = caller.answered or now() - LINGER
+            caller.answered = caller.answered or now() - LINGER_TIMEOUT
             return
         self._poll.modify(caller.sock, select.POLLIN)
         if caller.answered is not None:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -25,10 +25,10 @@
 from bramblestile.memory.counters import Counters
 from bramblestile.operations.connection_codec import decode_connection
 from bramblestile.operations.handoff import ProcessHandoff
-from bramblestile.operations.management_api import Operators
+from bramblestile.operations.management_api import ManagementApi
 from bramblestile.operations.move_schedule import MoveSchedule
 from bramblestile.operations.orders import Orders, OrderStore
-from bramblestile.operations.server import Server, pass_on_call
+from bramblestile.operations.server import ManagementServer, forward_call
 from bramblestile.process.config import (
     Config,
     ConfigError,
@@ -176,7 +176,7 @@
         # Who is to be moved, and by which plan: all clients (None) or those of a host, and since when.
         self._plans: dict[tuple[str | None, timedelta], MoveSchedule] = {}
         self._planned = threading.Event()
-        self.management: Server | None = None
+        self.management: ManagementServer | None = None
         self.handoff: ProcessHandoff | None = None
         self.gossip = (
             None
@@ -209,13 +209,13 @@
         self._trace(self.config.trace)  # first: the trace begins with the list that the fronts start from
         if self.config.management is not None:
             # Before the fronts take descriptors. Another process of this balancer may have the address a while longer.
-            operators = Operators(self, self.counters)
+            operators = ManagementApi(self, self.counters)
             with naming_key("management", self.config.management):
-                self.management = Server(
+                self.management = ManagementServer(
                     self.config.management,
                     operators,
                     self.counters,
-                    patient=self.config.inherited_descriptor is not None,
+                    retry_bind=self.config.inherited_descriptor is not None,
                 )
             self.management.start()
             for run in (self._run_orders, self._run_plans):
@@ -514,7 +514,7 @@
             path = {"show": "", "history": "/history"}.get(
                 verb, f"/{verb}/{quote(text, safe='')}" if verb in ("done", "drop", "forget") else f"/{verb}"
             )
-            answer.append(pass_on_call(at, "GET" if verb in ("show", "history") else "PUT", "/v1/work" + path, text))
+            answer.append(forward_call(at, "GET" if verb in ("show", "history") else "PUT", "/v1/work" + path, text))
 
         try:
             threading.Thread(target=pass_on, name="work call", daemon=True).start()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -14,9 +14,9 @@
 from bramblestile.cli.main import main as cli
 from bramblestile.memory.counters import Counters
 from bramblestile.operations import http, management_api, server
-from bramblestile.operations.management_api import Operators
+from bramblestile.operations.management_api import ManagementApi
 from bramblestile.operations.orders import OrderNotSavedError, Orders
-from bramblestile.operations.server import Server
+from bramblestile.operations.server import ManagementServer
 
 PUT = (
     b"PUT /v1/image-servers/s-1%2F2/suspend HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc"
@@ -26,11 +26,11 @@
 
 @given(st.lists(st.integers(0, len(PUT)), max_size=12))
 def test_a_call_cut_anywhere_is_one_call_and_what_follows_is_passed_over(cuts: list[int]) -> None:
-    parser, got, at = http.Parser(), None, 0
+    parser, got, at = http.RequestParser(), None, 0
     for cut in [*sorted(cuts), len(PUT)]:
         got = got or parser.feed(PUT[at:cut])
         at = cut
-    assert got == http.Call("PUT", ("v1", "image-servers", "s-1/2", "suspend"), b"abc")
+    assert got == http.HttpRequest("PUT", ("v1", "image-servers", "s-1/2", "suspend"), b"abc")
 
 
 @pytest.mark.parametrize(
@@ -55,9 +55,9 @@
     ],
 )
 def test_what_is_no_call_is_told_so(said: bytes, status: int) -> None:
-    with pytest.raises(http.FaultError) as caught:
-        http.Parser().feed(said)
-    assert caught.value.answer.status == status and b"\n\n" not in http.written(caught.value.answer)
+    with pytest.raises(http.HttpError) as caught:
+        http.RequestParser().feed(said)
+    assert caught.value.response.status == status and b"\n\n" not in http.encode_response(caught.value.response)
 
 
 class Balancer:
@@ -95,15 +95,15 @@
 
 
 @pytest.fixture
-def served() -> Iterator[tuple[Server, Balancer, Counters]]:
+def served() -> Iterator[tuple[ManagementServer, Balancer, Counters]]:
     counters, balancer = Counters(), Balancer()
-    made = Server(("127.0.0.1", 0), Operators(balancer, counters), counters)
+    made = ManagementServer(("127.0.0.1", 0), ManagementApi(balancer, counters), counters)
     made.start()
     yield made, balancer, counters
     made.stop()
 
 
-def call(made: Server, said: bytes) -> bytes:
+def call(made: ManagementServer, said: bytes) -> bytes:
     """The whole answer, to its end."""
     with socket.create_connection(made.address, timeout=5) as sock:
         sock.sendall(said)
@@ -117,7 +117,7 @@
     return int(got.split()[1])
 
 
-def test_ready_no_such_path_wrong_method_and_head(served: tuple[Server, Balancer, Counters]) -> None:
+def test_ready_no_such_path_wrong_method_and_head(served: tuple[ManagementServer, Balancer, Counters]) -> None:
     made, balancer, counters = served
     asked = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n"
     assert status(call(made, asked)) == 503
@@ -131,12 +131,12 @@
 
 
 def test_whole_calls_are_answered_beside_as_many_unfinished_ones_as_there_may_be(
-    served: tuple[Server, Balancer, Counters],
+    served: tuple[ManagementServer, Balancer, Counters],
 ) -> None:
     """Guards against callers that hold a connection without a whole call: the oldest of them give way."""
     made, balancer, counters = served
     balancer.why = None
-    slow = [socket.create_connection(made.address, timeout=5) for _ in range(server.MOST + 10)]
+    slow = [socket.create_connection(made.address, timeout=5) for _ in range(server.MAX_CALLERS + 10)]
     try:
         for sock in slow:
             sock.sendall(b"GET /v1/rea")
@@ -152,9 +152,9 @@
 
 
 def test_a_call_that_does_not_come_to_its_end_is_told_so_in_time(
-    served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
+    served: tuple[ManagementServer, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "WHOLE", server.TICK)
+    monkeypatch.setattr(server, "REQUEST_TIMEOUT", server.POLL_INTERVAL)
     assert status(call(served[0], b"PUT /v1/balancer/drain HTTP/1.1\r\nContent-Length: 5\r\n\r\n12")) == 408
 
 
@@ -163,7 +163,7 @@
 
 
 def test_hosts_go_out_once_and_come_back_once_and_strangers_are_refused(
-    served: tuple[Server, Balancer, Counters],
+    served: tuple[ManagementServer, Balancer, Counters],
 ) -> None:
     made, balancer, _ = served
     for _ in range(2):
@@ -177,7 +177,7 @@
 
 
 def test_the_yes_waits_until_nothing_is_being_sent_there_and_holds_nobody_up(
-    served: tuple[Server, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
+    served: tuple[ManagementServer, Balancer, Counters], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a request between its choice and its first byte: it would reach a host that is out."""
     made, balancer, _ = served
@@ -188,12 +188,12 @@
         assert list(balancer.orders.suspended) == ["s/1"]  # taken, while its yes is still to come
         balancer.quiet = True
         assert status(waits.recv(4096)) == 200
-    monkeypatch.setattr(management_api, "QUIET_BOUND", server.TICK)
+    monkeypatch.setattr(management_api, "SUSPEND_TIMEOUT", server.POLL_INTERVAL)
     balancer.quiet = False
     assert status(call(made, put("image-servers/s%2F1/suspend"))) == 503
 
 
-def test_what_cannot_be_kept_is_not_answered_with_yes(served: tuple[Server, Balancer, Counters]) -> None:
+def test_what_cannot_be_kept_is_not_answered_with_yes(served: tuple[ManagementServer, Balancer, Counters]) -> None:
     made, balancer, _ = served
     balancer.full = True
     got = call(made, put("image-servers/s%2F1/suspend"))
@@ -202,7 +202,7 @@
 
 
 def test_the_command_line_makes_the_same_calls(
-    served: tuple[Server, Balancer, Counters], capsys: pytest.CaptureFixture[str]
+    served: tuple[ManagementServer, Balancer, Counters], capsys: pytest.CaptureFixture[str]
 ) -> None:
     made, balancer, _ = served
     at = "{}:{}".format(*made.address)
