--- a/bramblestile/cli/common.py
+++ b/bramblestile/cli/common.py
@@ -22,19 +22,19 @@
 PROGRESS_EVERY = 0.2  # seconds between two lines of progress
 
 
-class Refused(click.ClickException):
+class InputError(click.ClickException):
     """Input that makes no sense: exit code 2, as for wrong usage."""
 
     exit_code = 2
 
 
-class Failed(Refused):
+class OperationError(InputError):
     """What was asked for could not be done: exit code 1."""
 
     exit_code = 1
 
 
-class Time(click.ParamType[int]):
+class TimeParam(click.ParamType[int]):
     """Microseconds since the epoch. ``+10s`` counts from the trace's first record: it comes as a negative
     number below any time (``resolve`` tells it)."""
 
@@ -60,16 +60,16 @@
 
 
 RELATIVE = -(1 << 60)
-TIME = Time()
+TIME = TimeParam()
 
 
-def resolve(value: int | None, first: Callable[[], int]) -> int | None:
+def resolve_time(value: int | None, first: Callable[[], int]) -> int | None:
     if value is None or value >= 0:
         return value
     return value - RELATIVE + first()
 
 
-def shown(at_us: int) -> str:
+def format_time(at_us: int) -> str:
     """A time for a person."""
     try:
         when = datetime.fromtimestamp(at_us / 1e6, UTC)
@@ -79,7 +79,7 @@
 
 
 @contextmanager
-def one_line() -> Iterator[None]:
+def report_errors() -> Iterator[None]:
     """Errors of the disk and of traces become one line. A closed pipe is no error: nobody reads on."""
     from bramblestile.trace import TraceError
 
@@ -93,12 +93,12 @@
         click.echo("bramblestile: interrupted", err=True)
         raise SystemExit(130) from None
     except TraceError as error:
-        raise Refused(str(error)) from None
+        raise InputError(str(error)) from None
     except OSError as error:
-        raise Failed(f"{error.filename}: {error.strerror}" if error.filename else str(error)) from None
+        raise OperationError(f"{error.filename}: {error.strerror}" if error.filename else str(error)) from None
 
 
-def progress(rows: Iterable[T], what: str) -> Iterator[T]:
+def show_progress(rows: Iterable[T], what: str) -> Iterator[T]:
     """Passes the rows on and tells how many, on standard error, where a person watches."""
     if not sys.stderr.isatty():
         yield from rows
--- a/bramblestile/cli/fleet.py
+++ b/bramblestile/cli/fleet.py
@@ -8,14 +8,14 @@
 
 import click
 
-from bramblestile.cli.common import Failed
-from bramblestile.cli.ops import at_option, call
+from bramblestile.cli.common import OperationError
+from bramblestile.cli.ops import address_option, send_call
 
 MAX_RESPONSE_BYTES = 1 << 22  # a member takes about 200 bytes
 
 
 @click.group("fleet")
-@at_option
+@address_option
 def group() -> None:
     """Show the fleet as one of its members sees it.
 
@@ -26,13 +26,14 @@
 def get_json(ctx: click.Context, part: str, path: str) -> Any:
     """Return the parsed JSON response of the management API to a GET request.
 
-    Raises Failed if there is no successful response or it is not JSON; ``part`` is the command named in the message.
+    Raises OperationError if there is no successful response or it is not JSON; ``part`` is the command named in the
+    message.
     """
-    body = call(ctx, part, "GET", path, most=MAX_RESPONSE_BYTES)
+    body = send_call(ctx, part, "GET", path, max_bytes=MAX_RESPONSE_BYTES)
     try:
         return json.loads(body)
     except ValueError as error:
-        raise Failed(f"{part}: {error}") from None
+        raise OperationError(f"{part}: {error}") from None
 
 
 @group.command()
--- a/bramblestile/cli/lab.py
+++ b/bramblestile/cli/lab.py
@@ -7,7 +7,7 @@
 
 import click
 
-from bramblestile.cli.common import FILE, Failed
+from bramblestile.cli.common import FILE, OperationError
 
 
 @click.group("lab")
@@ -34,13 +34,13 @@
         if page:
             from bramblestile.lab.page import draw
     except ImportError as error:
-        raise Failed(
+        raise OperationError(
             f"lab: needs the extras 'tools' and, for a page, 'plots' of this package ({error.name} is not installed)"
         ) from None
     try:
         parsed_script = script.parse(file.read_text())
     except (OSError, UnicodeDecodeError, script.ScriptError) as error:
-        raise Failed(f"{file}: {error}") from None
+        raise OperationError(f"{file}: {error}") from None
     run_folder = folder or Path(tempfile.mkdtemp(prefix="bramblestile-lab-"))
     result = runner.run_script(parsed_script, run_folder)
     for key, value in result.metrics.items():
@@ -53,5 +53,5 @@
         draw(result, run_folder / "page.png")
     click.echo(f"event log in {run_folder}")
     if result.violations:
-        raise Failed(f"{parsed_script.name}: " + "; ".join(result.violations))
+        raise OperationError(f"{parsed_script.name}: " + "; ".join(result.violations))
     click.echo(f"{parsed_script.name}: all expectations met")
--- a/bramblestile/cli/main.py
+++ b/bramblestile/cli/main.py
@@ -11,7 +11,7 @@
 import click
 
 from bramblestile import __version__
-from bramblestile.cli.common import Refused
+from bramblestile.cli.common import InputError
 
 if TYPE_CHECKING:
     from bramblestile.process.config import TlsConfig
@@ -80,7 +80,7 @@
     try:
         config = load_config([str(file)] if file else [], os.environ)
     except ConfigError as error:
-        raise Refused(str(error)) from None
+        raise InputError(str(error)) from None
     for front in (config.lines, config.nats):
         if front is not None:
             listen, hosts = "{}:{}".format(*front.listen), len(front.known_hosts)
@@ -105,7 +105,7 @@
     try:
         _, trust = load_tls(config)
     except ConfigError as error:
-        raise Refused(str(error)) from None
+        raise InputError(str(error)) from None
     click.echo(
         f"{config.path}: {len(trust.authorities)} authorities, names by {config.name}"
         + (", NOT VERIFIED" if config.skip_verification else "")
--- a/bramblestile/cli/ops.py
+++ b/bramblestile/cli/ops.py
@@ -7,21 +7,21 @@
 
 import click
 
-from bramblestile.cli.common import Failed, Refused
+from bramblestile.cli.common import InputError, OperationError
 from bramblestile.wire import discovery
 
-WITHIN = 2.0  # seconds: an answer is owed within 1
+TIMEOUT_S = 2.0  # seconds: an answer is owed within 1
 
 
 def _address(ctx: click.Context, _: click.Parameter, value: str) -> None:
     try:
         ctx.obj = discovery.address(value)
     except ValueError as error:
-        raise Refused(f"--at: {error}") from None
+        raise InputError(f"--at: {error}") from None
 
 
 # The commands of a group with it find the address in ``ctx.obj``.
-at_option = click.option(
+address_option = click.option(
     "--at",
     envvar="EDGE_MANAGEMENT",
     required=True,
@@ -33,7 +33,7 @@
 
 
 @click.group("ops")
-@at_option
+@address_option
 def group() -> None:
     """Ask a balancer whether it is ready, take image servers out, send clients away.
 
@@ -41,25 +41,27 @@
     """
 
 
-def call(ctx: click.Context, part: str, method: str, path: str, body: bytes = b"", most: int = 4096) -> str:
+def send_call(
+    ctx: click.Context, command: str, method: str, path: str, body: bytes = b"", max_bytes: int = 4096
+) -> str:
     """What the management address answers to one call, ``most`` bytes of it; Failed where it is not a yes."""
     host, port = ctx.obj
-    line = http.client.HTTPConnection(host, port, timeout=WITHIN)
+    line = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         line.request(method, path, body or None)
         answer = line.getresponse()
-        said = answer.read(most).decode("utf-8", "replace").strip()
+        said = answer.read(max_bytes).decode("utf-8", "replace").strip()
     except (OSError, http.client.HTTPException) as error:
-        raise Failed(f"{part}: {host}:{port}: {error!r}") from None
+        raise OperationError(f"{command}: {host}:{port}: {error!r}") from None
     finally:
         line.close()
     if not 200 <= answer.status < 300:
-        raise Failed(f"{part}: {host}:{port}: {answer.status} {said}")
+        raise OperationError(f"{command}: {host}:{port}: {answer.status} {said}")
     return said
 
 
 def _call(ctx: click.Context, method: str, path: str) -> None:
-    click.echo(call(ctx, "ops", method, path))
+    click.echo(send_call(ctx, "ops", method, path))
 
 
 @group.command()
--- a/bramblestile/cli/store.py
+++ b/bramblestile/cli/store.py
@@ -7,10 +7,10 @@
 
 import click
 
-from bramblestile.cli.common import Failed, Refused
+from bramblestile.cli.common import InputError, OperationError
 from bramblestile.wire import discovery, peers
 
-WITHIN = timedelta(seconds=5)
+TIMEOUT = timedelta(seconds=5)
 
 
 @click.group("store")
@@ -25,13 +25,13 @@
     try:
         address = discovery.address(peer)
     except ValueError as error:
-        raise Refused(f"PEER: {error}") from None
+        raise InputError(f"PEER: {error}") from None
     try:
-        answer = peers.send_command(address, said, WITHIN)
+        answer = peers.send_command(address, said, TIMEOUT)
     except (OSError, ValueError) as error:
-        raise Failed(f"store: {peer}: {error}") from None
+        raise OperationError(f"store: {peer}: {error}") from None
     if not answer.get("ok"):
-        raise Failed(f"store: {peer}: {answer.get('why', 'the leader did not hear of a majority in time')}")
+        raise OperationError(f"store: {peer}: {answer.get('why', 'the leader did not hear of a majority in time')}")
     return answer
 
 
--- a/bramblestile/cli/tls.py
+++ b/bramblestile/cli/tls.py
@@ -9,7 +9,7 @@
 
 import click
 
-from bramblestile.cli.common import Failed, Refused
+from bramblestile.cli.common import InputError, OperationError
 from bramblestile.clock import MICROSECOND
 from bramblestile.memory.cluster import UpstreamHost
 from bramblestile.memory.counters import Counters
@@ -50,14 +50,14 @@
         config = load_config([str(file)], os.environ)
         fronts = _fronts(config)
         if not fronts:
-            raise Refused(f"{file}: no front has a tls table")
+            raise InputError(f"{file}: no front has a tls table")
         dialers = [(front, _dialer(front, front is config.nats)) for front in fronts]
     except ConfigError as error:
-        raise Refused(str(error)) from None
+        raise InputError(str(error)) from None
     known = {host.id for front in fronts for host in front.known_hosts}
     for name in only:
         if name not in known:
-            raise Refused(f"--host: {name!r} is not listed in {file}")
+            raise InputError(f"--host: {name!r} is not listed in {file}")
     bad = looked = 0
     for front, dialer in dialers:
         for host in front.known_hosts:
@@ -66,9 +66,9 @@
             looked += 1
             bad += not _look(dialer, host, timedelta(seconds=within))
     if not looked:
-        raise Refused(f"{file}: lists no host; only those in the file can be looked at")
+        raise InputError(f"{file}: lists no host; only those in the file can be looked at")
     if bad:
-        raise Failed(f"{bad} of {looked} hosts refused or without an answer")
+        raise OperationError(f"{bad} of {looked} hosts refused or without an answer")
 
 
 def _look(dialer: Dialer, host: UpstreamHost, within: timedelta) -> bool:
@@ -121,15 +121,15 @@
     for host in hosts:
         name, _, names = host.partition("=")
         if not name or "/" in name or name in ("ca", "client"):
-            raise Refused(f"--host: {host!r}: no name for a file")
+            raise InputError(f"--host: {host!r}: no name for a file")
         wanted[name] = tuple(n for n in names.split(",") if n) or (name,)
     try:
         made = making.authority(wanted, timedelta(days=days), rsa)
     except ValueError as error:
-        raise Refused(f"--host: {error}") from None
+        raise InputError(f"--host: {error}") from None
     there = [name for name in made if (directory / name).exists()]
     if there and not force:
-        raise Refused(f"{directory / there[0]}: is there already; --force overwrites")
+        raise InputError(f"{directory / there[0]}: is there already; --force overwrites")
     try:
         directory.mkdir(parents=True, exist_ok=True)
         for name, raw in made.items():
@@ -138,5 +138,5 @@
                 os.fchmod(file.fileno(), 0o600)
                 file.write(raw)
     except OSError as error:
-        raise Failed(f"{error.filename or directory}: {error.strerror}") from None
+        raise OperationError(f"{error.filename or directory}: {error.strerror}") from None
     click.echo(f"{directory}: {', '.join(made)}")
--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -11,7 +11,16 @@
 
 import click
 
-from bramblestile.cli.common import FILE, OUT, TIME, Failed, one_line, progress, resolve, shown
+from bramblestile.cli.common import (
+    FILE,
+    OUT,
+    TIME,
+    OperationError,
+    format_time,
+    report_errors,
+    resolve_time,
+    show_progress,
+)
 from bramblestile.trace import Query, Reader, TraceError, Writer
 from bramblestile.trace.files import COMPRESSION_THREADS, atomic_file
 from bramblestile.trace.records import Record, from_json, to_json
@@ -53,7 +62,7 @@
 
     def invoke(self, ctx: click.Context) -> Any:
         """Run the command."""
-        with one_line():
+        with report_errors():
             return super().invoke(ctx)
 
 
@@ -77,7 +86,7 @@
         reader.clear_findings()
         return earliest
 
-    return Query(resolve(since, first_record_us), resolve(until, first_record_us), id_, host, cls)
+    return Query(resolve_time(since, first_record_us), resolve_time(until, first_record_us), id_, host, cls)
 
 
 def _query_options(function: Callable[..., None]) -> Callable[..., None]:
@@ -163,8 +172,8 @@
             + (f", {reader.size / records:.2f} per record" if records else "")
         )
         if first is not None:
-            click.echo(f"from {shown(first)} ({first})")
-            click.echo(f"to   {shown(last)} ({last}), {(last - first) / 1e6:.3f} s")
+            click.echo(f"from {format_time(first)} ({first})")
+            click.echo(f"to   {format_time(last)} ({last}), {(last - first) / 1e6:.3f} s")
             click.echo(f"uncompressed: {raw_bytes} bytes; index: {filter_bytes} bytes")
         click.echo(
             f"damaged: {reader.damage_count} places, {missing_blocks} blocks known to be missing"
@@ -198,7 +207,7 @@
     with ExitStack() as stack:
         file: BinaryIO = sys.stdin.buffer if str(source) == "-" else stack.enter_context(open(source, "rb"))
         name = "standard input" if str(source) == "-" else str(source)
-        count = _write_trace(progress(_read_json_lines(file, name), "import"), out, force, {"imported": True})
+        count = _write_trace(show_progress(_read_json_lines(file, name), "import"), out, force, {"imported": True})
     click.echo(f"{count} records", err=True)
 
 
@@ -239,7 +248,7 @@
     """Print the records of FILE as JSON lines, all or those that the options select."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        records = progress(reader.read(_query(reader, since, until, id_, host, cls)), "export")
+        records = show_progress(reader.read(_query(reader, since, until, id_, host, cls)), "export")
         if str(out) == "-":
             _write_json_lines(records, sys.stdout.buffer)
         else:
@@ -268,7 +277,7 @@
     with ExitStack() as stack:
         reader = _open(stack, file)
         query = _query(reader, since, until, id_, host, cls)
-        records = _with_unknown_check(progress(reader.read(query), "cut"), [reader], drop_unknown)
+        records = _with_unknown_check(show_progress(reader.read(query), "cut"), [reader], drop_unknown)
         count = _write_trace(records, out, force, _derived_description(reader.description, cut_from=file.name))
         _report_damage(reader)
         click.echo(f"{count} records", err=True)
@@ -283,7 +292,7 @@
     """Copy all undamaged blocks of FILE to OUT and report what was lost. Small blocks are joined to large ones."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        records = _with_unknown_check(progress(reader.read(), "recover"), [reader], drop_unknown)
+        records = _with_unknown_check(show_progress(reader.read(), "recover"), [reader], drop_unknown)
         count = _write_trace(records, out, force, _derived_description(reader.description, recovered_from=file.name))
         _report_damage(reader)
         lost = sum(damage.record_count for damage in reader.damage)
@@ -314,10 +323,10 @@
         if as_is:
             inputs = [MergeInput(reader, reader.path.name, (), REFERENCE, reader.path.name) for reader in readers]
         else:
-            inputs = align(readers, progress)
+            inputs = align(readers, show_progress)
         for source in inputs:
             click.echo(_clock_line(source.describe(), as_is), err=True)
-        records = _with_unknown_check(progress(merge_records(inputs), "merge"), readers, drop_unknown)
+        records = _with_unknown_check(show_progress(merge_records(inputs), "merge"), readers, drop_unknown)
         count = _write_trace(records, out, force, {"merged": [source.describe() for source in inputs]})
         for reader in readers:
             _report_damage(reader)
@@ -363,13 +372,13 @@
         pseudonymiser = Pseudonymiser(key, hosts)
 
         def checked() -> Iterator[Record]:
-            for record in progress(reader.read(), "anonymise"):
+            for record in show_progress(reader.read(), "anonymise"):
                 yield pseudonymiser.apply(record)
             names = str(reader.description.get("instance", "")), str(reader.description.get("hall", ""))
             pseudonymiser.kept_texts.update(names)
             check = pseudonymiser.leak_check()
             with Reader(file) as reread:
-                for record in progress(reread.read(), "checking"):
+                for record in show_progress(reread.read(), "checking"):
                     check(record)
 
         description: dict[str, Any] = {
@@ -450,7 +459,7 @@
     """Sum up outcomes, attempts, moves and the time to up by class, tenant, host, hall and window."""
     with ExitStack() as stack:
         reader = _open(stack, file)
-        rows = progress(reader.read(_query(reader, since, until, id_, host, cls)), "summarise")
+        rows = show_progress(reader.read(_query(reader, since, until, id_, host, cls)), "summarise")
         summary = _summary(reader, rows, round((window or 0) * 1e6))
         _print_rows(summary.as_rows(), form, summary.as_json())
         if form == "table":
@@ -475,7 +484,7 @@
 
     with ExitStack() as stack:
         readers = [_open(stack, file) for file in (a, b)]
-        first, second = (_summary(reader, progress(reader.read(), str(reader.path.name))) for reader in readers)
+        first, second = (_summary(reader, show_progress(reader.read(), str(reader.path.name))) for reader in readers)
         rows = [
             row
             for row in compare(first, second)
@@ -498,6 +507,6 @@
         records = list(reader.read(Query(id=request)))
         _report_damage(reader)
         if not records:
-            raise Failed(f"{file}: no request {request}")
-        for line in describe(records, shown):
+            raise OperationError(f"{file}: no request {request}")
+        for line in describe(records, format_time):
             click.echo(line)
--- a/bramblestile/cli/work.py
+++ b/bramblestile/cli/work.py
@@ -9,13 +9,13 @@
 
 import click
 
-from bramblestile.cli.common import FILE, Failed
+from bramblestile.cli.common import FILE, OperationError
 from bramblestile.cli.fleet import MAX_RESPONSE_BYTES, get_json
-from bramblestile.cli.ops import at_option, call
+from bramblestile.cli.ops import address_option, send_call
 
 
 @click.group("work")
-@at_option
+@address_option
 def group() -> None:
     """Take machines out for work one after the other. Ask any balancer: it passes the call on to the one that leads.
 
@@ -24,7 +24,7 @@
 
 
 def _put(ctx: click.Context, path: str, body: bytes = b"") -> str:
-    return call(ctx, "work", "PUT", "/v1/work/" + path, body, MAX_RESPONSE_BYTES)
+    return send_call(ctx, "work", "PUT", "/v1/work/" + path, body, MAX_RESPONSE_BYTES)
 
 
 @group.command()
@@ -52,7 +52,7 @@
     try:
         return file.read_bytes()
     except OSError as error:
-        raise Failed(f"{file}: {error.strerror}") from None
+        raise OperationError(f"{file}: {error.strerror}") from None
 
 
 @group.command()
