--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -1,4 +1,7 @@
-"""Listening sockets: one thread accepts, and one thread lives each downstream's life."""
+"""Listening sockets.
+
+One thread per listener accepts connections, and each downstream is served in a thread of its own.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +22,16 @@
 from bramblestile.sockets import Address
 
 BACKLOG = 1024
-STOP_BOUND = timedelta(milliseconds=200)  # for the thread that accepts to see that it is to end
+ACCEPT_STOP_TIMEOUT = timedelta(milliseconds=200)  # for the accepting thread to notice a stop
+ACCEPT_RETRY_DELAY_S = 0.01  # after a failed accept
 Serve = Callable[[socket.socket], None]
 
 
 def adopt_listening_socket(descriptor: int) -> socket.socket:
-    """The listening socket that whoever started us holds. ValueError says what else the descriptor is."""
+    """Return the listening socket that this process inherited.
+
+    Raises ValueError, whose text says why, if the descriptor is not a listening TCP socket.
+    """
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
@@ -33,14 +40,21 @@
         socket.SOL_SOCKET, socket.SO_ACCEPTCONN
     ):
         return sock
-    sock.detach()  # not ours to close
-    raise ValueError(f"descriptor {descriptor} is no listening TCP socket")
+    sock.detach()  # this process does not own the descriptor, so it must not close it
+    raise ValueError(f"descriptor {descriptor} is not a listening TCP socket")
 
 
 class Listener:
-    """``inherited``: a socket that other processes accept from too. What is said of it binds them as well, so it is
-    never shut down, and the thread that accepts waits on it beside a pipe of its own. It is made not to block, for all
-    of them: between the wait and the accept another may have taken the downstream."""
+    """Accepts downstreams on one address and serves each in its own thread.
+
+    ``inherited`` is a listening socket that other processes accept from too. A shutdown would apply to all of them, so
+    the socket is never shut down; instead the accepting thread also polls a pipe that wakes it. The socket is set to
+    non-blocking, for all processes: another one may accept the connection between this one's poll and accept.
+
+    Attributes:
+        address: The address that the socket is bound to.
+        active_count: Number of downstreams that have been accepted or adopted and have not ended.
+    """
 
     def __init__(
         self,
@@ -51,37 +65,38 @@
         pending_downstreams: PendingDownstreams | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        self._pending_downstreams = pending_downstreams  # None: what comes here is bounded elsewhere
+        self._pending_downstreams = pending_downstreams  # None: other limits apply
         self._serve = serve
         self._counters = counters
         self._name = name
         self._log = Log(listener=name)
-        self._wake: tuple[int, int] | None = None
+        self._wake_pipe: tuple[int, int] | None = None
         if inherited is None:
             self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._sock.bind(address)
             self._sock.listen(BACKLOG)
         else:
-            self._sock, self._wake = inherited, os.pipe()
+            self._sock, self._wake_pipe = inherited, os.pipe()
             self._sock.setblocking(False)
-        self._thread = threading.Thread(target=self._accept, name="accept " + name, daemon=True)
+        self._thread = threading.Thread(target=self._accept_loop, name="accept " + name, daemon=True)
         self.address: Address = self._sock.getsockname()[:2]
         self._stopped = False
-        self._busy = threading.Lock()
-        self.active_count = 0  # downstreams taken and not yet over
+        self._active_lock = threading.Lock()
+        self.active_count = 0
 
     def start(self) -> None:
+        """Start to accept. Does nothing if already started."""
         if self._thread.ident is None:
             self._thread.start()
 
-    def _next(self) -> socket.socket | None:
-        """The next downstream; None where another process has taken it, or the listener was stopped."""
-        if self._wake is None:
+    def _accept_one(self) -> socket.socket | None:
+        """Wait for the next downstream. Returns None if another process accepted it, or if the listener was stopped."""
+        if self._wake_pipe is None:
             return self._sock.accept()[0]
         poll = select.poll()
         poll.register(self._sock, select.POLLIN)
-        poll.register(self._wake[0], select.POLLIN)
+        poll.register(self._wake_pipe[0], select.POLLIN)
         poll.poll()
         if self._stopped:
             return None
@@ -90,40 +105,40 @@
         except BlockingIOError:
             return None
 
-    def _accept(self) -> None:
+    def _accept_loop(self) -> None:
         while not self._stopped:
             if self._pending_downstreams is not None:
                 self._pending_downstreams.wait_for_room()
             try:
-                sock = self._next()
+                sock = self._accept_one()
                 if sock is None:
                     continue
             except OSError as error:
                 if self._stopped:
                     return
-                # Out of descriptors, or the downstream left before we came: neither may end the listener.
+                # Out of descriptors, or the client reset the connection first: neither may end the listener.
                 self._counters.add("accept_failed")
                 self._log.warning_rate_limited("accept failed", error=repr(error))
                 if self._pending_downstreams is not None and error.errno in (errno.EMFILE, errno.ENFILE):
                     self._pending_downstreams.evict_oldest()
-                time.sleep(0.01)
+                time.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             self._counters.add(f"{self._name}_accepted")
             if self._pending_downstreams is not None:
                 self._pending_downstreams.track(sock)
             try:
-                self.run_in_thread(partial(self._live, sock))
+                self.run_in_thread(partial(self._serve_downstream, sock))
             except RuntimeError:
                 self._counters.add("no_thread")
-                self._done(sock)
+                self._release(sock)
 
     def run_in_thread(self, work: Callable[[], None]) -> None:
-        """In a thread of a downstream's, which counts as busy meanwhile. RuntimeError: there is none to be had."""
-        self._count(1)
+        """Run work for one downstream in a new thread and count it as active. Raises RuntimeError if none can start."""
+        self._adjust_active_count(1)
         try:
             threading.Thread(target=self._run, args=(work,), name=self._name, daemon=True).start()
         except RuntimeError:
-            self._count(-1)
+            self._adjust_active_count(-1)
             raise
 
     def _run(self, work: Callable[[], None]) -> None:
@@ -133,34 +148,37 @@
             self._counters.add("faults")
             self._log.exception("fault")
         finally:
-            self._count(-1)
+            self._adjust_active_count(-1)
 
-    def _count(self, change: int) -> None:
-        with self._busy:
+    def _adjust_active_count(self, change: int) -> None:
+        with self._active_lock:
             self.active_count += change
 
-    def _live(self, sock: socket.socket) -> None:
+    def _serve_downstream(self, sock: socket.socket) -> None:
         try:
             sockets.set_options(sock)
             self._serve(sock)
         except OSError:
             self._counters.add("downstream_broke")
         finally:
-            self._done(sock)
+            self._release(sock)
 
-    def _done(self, sock: socket.socket) -> None:
+    def _release(self, sock: socket.socket) -> None:
         sock.close()
         if self._pending_downstreams is not None:
             self._pending_downstreams.remove(sock)
 
     def stop(self) -> None:
-        """Nothing more is taken; what was taken goes on. An inherited socket listens on for whoever else has it."""
+        """Stop accepting; downstreams already accepted continue.
+
+        An inherited socket stays open for the other processes.
+        """
         self._stopped = True
-        if self._wake is None:
+        if self._wake_pipe is None:
             sockets.shut_down(self._sock)
             self._sock.close()
             return
-        os.write(self._wake[1], b"x")
-        # What it took in its last moment is counted in ``busy`` only then.
+        os.write(self._wake_pipe[1], b"x")
+        # Until the thread has ended, its last accepted downstream may be missing from ``active_count``.
         if self._thread.ident is not None:
-            self._thread.join(STOP_BOUND.total_seconds())
+            self._thread.join(ACCEPT_STOP_TIMEOUT.total_seconds())
