--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -259,7 +259,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error for an earlier datagram: nobody listens there
+                continue  # an ICMP error for an earlier datagram: no process listens there
             self._handle_datagram(datagram, source)
 
     def _handle_datagram(self, datagram: bytes, source: Address) -> None:
--- a/bramblestile/fleet/membership.py
+++ b/bramblestile/fleet/membership.py
@@ -806,7 +806,10 @@
             self.changes.append(Change(record.name, before, state, accusers))
 
     def _replace_record(self, peer: Peer, record: MemberRecord) -> None:
-        """Replace a peer's record and update the digest, the suspects, the epochs and the live names accordingly."""
+        """Replace a peer's record and update the digest, the suspects, the epochs and the live names accordingly.
+
+        A change of state must go through this method, which keeps these in agreement with the record.
+        """
         name, was_live = record.name, peer.is_live
         self._toggle_in_digest(peer.record)
         peer.record = record
--- a/bramblestile/fleet/sealing.py
+++ b/bramblestile/fleet/sealing.py
@@ -27,7 +27,11 @@
 
 
 class SealError(Exception):
-    """A datagram was rejected; ``reply``, where it helps, is a seal that tells the sender this process's epoch."""
+    """A datagram was rejected.
+
+    The reason is one word and part of a counter's name. ``reply``, if it helps, is a seal that tells the sender this
+    process's epoch.
+    """
 
     def __init__(self, reason: str, reply: bytes | None = None) -> None:
         super().__init__(reason)
--- a/bramblestile/store/service.py
+++ b/bramblestile/store/service.py
@@ -79,7 +79,7 @@
         with self._changed:
             while index and self.replica.commit_index < index and now() < deadline:
                 self._changed.wait(max(deadline - now(), ZERO_DURATION).total_seconds())
-            # If a snapshot contains the entry, its term is unknown; it is ours if this peer's term is still the same.
+            # In a snapshot the entry's term is unknown; it is the proposed entry if this peer's term is unchanged.
             entry_term = self.replica.journal.term_at(index)
             return 0 < index <= self.replica.commit_index and term in (
                 entry_term,
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -46,7 +46,7 @@
 
 
 def deaths(sim: MembershipSimulation, exclude: str = "") -> list[tuple[str, str]]:
-    """Return who has declared whom dead, without the deaths of ``exclude``."""
+    """Return the pairs of a viewer and a member that it has declared dead, other than ``exclude``."""
     return [(viewer, c.name) for _, viewer, c in sim.changes if c.after is State.DEAD and c.name != exclude]
 
 
@@ -155,10 +155,10 @@
     second = sim.start(names[4], seeds=names[:3], address=("127.9.9.9", 7))
     sim.run(10 * S)
     assert first.membership.name_holder is not None and second.membership.name_holder is None
-    seen = {
+    hosts = {
         r.host for n in names if n != names[4] for r in sim.by_name[n].membership.live_members() if r.name == names[4]
     }
-    assert seen == {"127.9.9.9"}
+    assert hosts == {"127.9.9.9"}
     second.running = False  # the first process learns that its name is free again, and takes it
     sim.run(20 * S)
     assert first.membership.name_holder is None and len(first.membership.live_members()) == 8
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -28,7 +28,7 @@
 
 
 def deaths(harness: FleetHarness, exclude: str = "") -> list[tuple[str, str]]:
-    """Return who has declared whom dead, without the deaths of ``exclude``."""
+    """Return the pairs of a viewer and a member that it has declared dead, other than ``exclude``."""
     return [(e["who"], e["member"]) for e in harness.membership_events("dead") if e["member"] != exclude]
 
 
