--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -534,7 +534,7 @@
 
     def health_report(self) -> agent.Health:
         """What other balancers are told of this one."""
-        share = max((front.share_of_hosts() for front in self.fronts), default=0.0)
+        share = max((front.running_share() for front in self.fronts), default=0.0)
         return agent.Health(share > 0, self.is_shutting_down or self._drained_since is not None, share)
 
     def stop(self) -> None:
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -1,4 +1,8 @@
-"""One front with a cluster of its own: its decisions, connections, probes and watch, wired together."""
+"""Fronts: one listener with its cluster, decisions, connections, probes, health checks and discovery.
+
+``Front`` holds what all protocols have in common. ``LineFront`` and ``NatsFront`` read a downstream's request and then
+serve it (life.py).
+"""
 
 from __future__ import annotations
 
@@ -34,25 +38,29 @@
 if TYPE_CHECKING:
     from bramblestile import tls
 
-FIRST_LINE_TIMEOUT = timedelta(seconds=2)  # from the accept to the whole first line, however many PINGs come before
-DRAIN_RECHECK_INTERVAL = timedelta(seconds=1)  # between two looks at a NATS host that has said that it drains
+FIRST_LINE_TIMEOUT = timedelta(seconds=2)  # from the accept to the request's whole line, PINGs before it included
+DRAIN_RECHECK_INTERVAL = timedelta(seconds=1)  # between two INFOs read from a draining NATS host
+DEFAULT_MESSAGE_AIM_US = 300_000.0  # where no class has an aim
 MILLISECOND = timedelta(milliseconds=1)
 
 
-def noted_from(settings: api.Settings) -> timedelta:
-    """The delay of a message from which the decisions hear of it."""
+def delay_report_threshold(settings: api.Settings) -> timedelta:
+    """Return the message delay from which on delays are reported to the decisions: a third of the smallest aim."""
     aims = [c.message_aim_us for c in settings.classes if c.message_aim_us > 0]
-    return timedelta(microseconds=min(aims, default=300_000.0) / 3)
+    return timedelta(microseconds=min(aims, default=DEFAULT_MESSAGE_AIM_US) / 3)
 
 
 def load_tls(config: TlsConfig, before: tls.TrustStore | None = None) -> tuple[tls.DialerConfig, tls.TrustStore]:
-    """What a table says, and its files, read; ConfigError names the key. The libraries are loaded here and nowhere else
-    on the way of ``run``: the platform's program has none."""
+    """Read the files that a TLS configuration names; ``before`` is returned again if they have not changed.
+
+    Raises ConfigError, which names the key. The TLS libraries are imported only here, as the installation on the
+    platform has none of them.
+    """
     try:
         from bramblestile import tls
     except ImportError as error:
         raise ConfigError(f"tls: needs the extra 'tls' of this package ({error.name} is not installed)") from None
-    plan = tls.DialerConfig(
+    dialer_config = tls.DialerConfig(
         tls.TlsFiles(config.ca, config.cert, config.key, config.crl, config.min_version, config.skip_verification),
         config.name,
         config.handshake_timeout,
@@ -62,14 +70,14 @@
         config.expiry_warning,
     )
     try:
-        return plan, tls.load_trust_store(plan.files, before)
+        return dialer_config, tls.load_trust_store(dialer_config.files, before)
     except tls.TlsFilesError as error:
         raise ConfigError(f"{config.path}.{error}") from None
 
 
 @contextmanager
 def naming_key(key: str, address: Address) -> Iterator[None]:
-    """An address that cannot be had is the configuration's fault, and is named by its key."""
+    """Turn an OSError about an address into a ConfigError that names the address's key."""
     try:
         yield
     except OSError as error:
@@ -77,10 +85,20 @@
 
 
 class Front:
-    """What every front has, whatever it speaks. Nothing in it listens before ``start``."""
+    """What the fronts of all protocols have in common. Nothing listens before ``start``.
+
+    Attributes:
+        name: Name in logs, counters and traces.
+        address_key: Path of the listening address in the configuration.
+        listener: The listener; None before ``start``.
+        inherited_socket: Listening socket shared with other processes; None to bind one.
+        stopped: Set by ``stop``.
+        is_drained: Operators have drained this balancer, so new clients are sent away.
+        list_received: Set when discovery has sent the list of hosts, or if there is no discovery.
+    """
 
     name = ""
-    key = ""  # of its address, in the configuration
+    address_key = ""
 
     def __init__(self, config: FrontConfig, counters: Counters, tracing: TracerHandle | None = None) -> None:
         self.config = config
@@ -90,7 +108,7 @@
         self.cluster = Cluster()
         self.decisions = Decisions(config.settings, config.seed, self.cluster, counters, self.tracing, self.name)
         self.connections = Connections(self.on_silent_connection, self.on_silent_host)
-        self.delays = DelayMonitor(noted_from(config.settings), self._note_delay)
+        self.delays = DelayMonitor(delay_report_threshold(config.settings), self._report_delay)
         self.context = ServingContext(
             self.decisions,
             self.cluster,
@@ -105,7 +123,7 @@
         )
         self.tls = None if config.tls is None else self._make_tls(config.tls)
         self.probes = ProbeRunner(
-            self.cluster, self.prober, config.probe_timeout, self.decisions.handle_event, counters
+            self.cluster, self.make_prober, config.probe_timeout, self.decisions.handle_event, counters
         )
         self.discovery_watch = (
             None if config.discovery is None else self._make_watch(config.discovery, config.known_hosts_version)
@@ -113,70 +131,75 @@
         self.checks = HealthChecker(config.checks, config.check_interval, self.on_check_result, counters)
         self.pending_downstreams = PendingDownstreams(config.pending_downstreams)
         self.listener: Listener | None = None
-        self.inherited_socket: socket.socket | None = (
-            None  # a listening socket that others hold too; None: one of our own
-        )
+        self.inherited_socket: socket.socket | None = None
         self.stopped = threading.Event()
-        self.is_drained = False  # operators have clients sent away
-        self.list_received = threading.Event()  # discovery has told the list, or there is none to tell it
+        self.is_drained = False
+        self.list_received = threading.Event()
         if config.discovery is None:
             self.list_received.set()
 
     def _make_tls(self, config: TlsConfig) -> tls.Dialer:
-        plan, trust = load_tls(config)
+        dialer_config, trust_store = load_tls(config)
         from bramblestile import tls
 
         return tls.Dialer(
-            plan,
+            dialer_config,
             self.counters,
             self.config.settings.balancers,
             self.warmth,
             self.cluster.find,
             self.decisions.set_closed,
-            None if config.handshake_first else self.before_tls,
-            trust=trust,
+            None if config.handshake_first else self.read_before_tls,
+            trust=trust_store,
         )
 
-    before_tls: Callable[[Transport, timedelta], bytes] | None = None  # what the protocol says before TLS begins
+    # Reads what an upstream host sends before the TLS handshake; None for a protocol that begins with the handshake.
+    read_before_tls: Callable[[Transport, timedelta], bytes] | None = None
 
     def _dial(self, host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
-        """Whatever the configuration of the moment says: a reload may begin or end TLS."""
+        """Connect as the current configuration says: a reload may turn TLS on or off."""
         if self.tls is None:
             return dial_plain(host, connect_timeout, until)
         return self.tls.dial(host, connect_timeout, until)
 
-    def warmth(self, host: UpstreamHost, later: timedelta = ZERO_DURATION) -> float:
-        """The part of its capacity that a host has by now, or so much later, as the module reckons it (``rules.py``,
-        ``_warmth``)."""
+    def warmth(self, host: UpstreamHost, after: timedelta = ZERO_DURATION) -> float:
+        """Return the part of its capacity that a host has in slow start, now or after a while.
+
+        Same formula as ``_warmth`` in vanegw/rules.py.
+        """
         settings = self.config.settings
         if host.started_at is None or settings.cold_us <= 0:
             return 1.0
-        part = min(1.0, max(0.0, (now() + later - host.started_at) / timedelta(microseconds=settings.cold_us)))
+        part = min(1.0, max(0.0, (now() + after - host.started_at) / timedelta(microseconds=settings.cold_us)))
         return settings.cold_from + (1 - settings.cold_from) * part
 
     def prepare_tls(self, config: FrontConfig) -> Callable[[], None]:
-        """Reads what a new configuration names. ConfigError, and nothing has changed; else what takes it into use."""
+        """Read the TLS files of a new configuration and return a function that applies its TLS settings.
+
+        Raises ConfigError; nothing has changed then.
+        """
         if config.tls is None:
             return self._end_tls
         if self.tls is None:
-            made = self._make_tls(config.tls)
-            return lambda: self._begin_tls(made)
-        held = self.tls
-        plan, trust = load_tls(config.tls, held.trust_store)
-        return lambda: held.reconfigure(plan, trust)
+            new_dialer = self._make_tls(config.tls)
+            return lambda: self._begin_tls(new_dialer)
+        dialer = self.tls
+        dialer_config, trust_store = load_tls(config.tls, dialer.trust_store)
+        return lambda: dialer.reconfigure(dialer_config, trust_store)
 
-    def _begin_tls(self, made: tls.Dialer) -> None:
-        self.tls = made
-        made.start()
+    def _begin_tls(self, dialer: tls.Dialer) -> None:
+        self.tls = dialer
+        dialer.start()
 
     def _end_tls(self) -> None:
         old, self.tls = self.tls, None
         if old is not None:
             old.stop()
-            for host in self.cluster.hosts():  # nobody looks at the refused any more
+            for host in self.cluster.hosts():  # hosts refused for their certificates are no longer rechecked
                 self.decisions.set_closed(host.id, False)
 
     def start(self) -> None:
+        """Start all parts and listen. Raises ConfigError if the address cannot be bound."""
         if self.tls is not None:
             self.tls.start()
         self.decisions.on_probe = self.probes.request
@@ -187,7 +210,7 @@
         self.connections.start()
         self.decisions.update_list(api.ListMode.RESTORED, self.config.known_hosts)
         self.checks.start()
-        with naming_key(self.key, self.config.listen):
+        with naming_key(self.address_key, self.config.listen):
             self.listener = Listener(
                 self.config.listen,
                 self.serve,
@@ -200,9 +223,9 @@
             self.listener.start()
 
     def _make_watch(self, discovery: Address, version: int | None) -> DiscoveryWatch:
-        return DiscoveryWatch(discovery, version, self._told, lambda text: self.log.warning("discovery", text=text))
+        return DiscoveryWatch(discovery, version, self._on_list, lambda text: self.log.warning("discovery", text=text))
 
-    def _told(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
+    def _on_list(self, mode: api.ListMode, hosts: Sequence[UpstreamHost]) -> None:
         self.decisions.update_list(mode, hosts)
         if mode is not api.ListMode.UNAVAILABLE:
             self.list_received.set()
@@ -211,31 +234,36 @@
         self.decisions.on_subscribe = watch.trigger
         watch.start()
 
-    def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
-        """Takes the new configuration while all that stands stays as it is. ``take_tls``: what ``prepare`` gave."""
-        take_tls = take_tls or self.prepare_tls(config)
+    def reconfigure(self, config: FrontConfig, apply_tls: Callable[[], None] | None = None) -> None:
+        """Apply a new configuration; established connections stay as they are.
+
+        ``apply_tls`` is the result of ``prepare_tls``. Raises ConfigError only if it is None.
+        """
+        apply_tls = apply_tls or self.prepare_tls(config)
         old, self.config = self.config, replace(config, listen=self.config.listen)
         if config.listen != old.listen:
-            self.log.warning("reload", key="listen", text=f"a new address needs a restart, {old.listen} is kept")
-        take_tls()
+            self.log.warning(
+                "reload", key="listen", text=f"a new address needs a restart; still listening on {old.listen}"
+            )
+        apply_tls()
         self.decisions.reconfigure(config.settings)
-        self.delays.threshold = noted_from(config.settings)
+        self.delays.threshold = delay_report_threshold(config.settings)
         self.context.connect_timeout, self.probes.answer_timeout = config.connect_timeout, config.probe_timeout
         self.pending_downstreams.limit = config.pending_downstreams
-        self._follow(old.discovery, config)
+        self._follow_discovery(old.discovery, config)
         if (config.checks, config.check_interval) != (old.checks, old.check_interval):
             self.checks.stop()
-            for name in old.checks:  # what an ended check has said last must not hold for ever
+            for name in old.checks:  # the last result of a removed check must not stay in force
                 self.on_check_result(name, CheckResult(takes_work=True, share=1.0))
             self.checks = HealthChecker(config.checks, config.check_interval, self.on_check_result, self.counters)
             self.checks.start()
 
-    def _follow(self, old: Address | None, config: FrontConfig) -> None:
+    def _follow_discovery(self, old: Address | None, config: FrontConfig) -> None:
         if config.discovery is None:
             if self.discovery_watch is not None:
                 self.discovery_watch.stop()
                 self.discovery_watch = None
-            # Nobody else tells of changes: the file's list is the cluster.
+            # Without discovery, the list in the file is the cluster.
             self.decisions.update_list(api.ListMode.COMPLETE, config.known_hosts)
         elif self.discovery_watch is None:
             self.discovery_watch = self._make_watch(config.discovery, None)
@@ -245,7 +273,7 @@
             self.discovery_watch.switch_to(config.discovery)
 
     def stop(self) -> None:
-        """Asks nobody anything more and accepts nothing more; what stands is not touched."""
+        """Stop accepting downstreams, health checks and the watch of discovery; established connections continue."""
         self.stopped.set()
         self.checks.stop()
         if self.tls is not None:
@@ -255,79 +283,88 @@
         if self.listener is not None:
             self.listener.stop()
 
-    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+    def make_prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+        """Return a function that probes a host over a connection that it keeps, and one that closes the connection."""
         raise NotImplementedError
 
     def serve(self, sock: socket.socket) -> None:
+        """Serve one downstream until it ends."""
         raise NotImplementedError
 
-    def _reject(self, sock: socket.socket, reply: bytes, why: Exception) -> None:
-        """What is no request gets a failed answer and a counter: it must not end in a traceback."""
+    def _reject_malformed(self, sock: socket.socket, reply: bytes, error: Exception) -> None:
+        """Answer a malformed request with an error and count it."""
         self.counters.add("bad_first_lines")
-        self.log.warning_rate_limited("not taken", error=repr(why))
+        self.log.warning_rate_limited("not taken", error=repr(error))
         sockets.reply_and_close(sock, reply)
 
-    def _turn_away(self, sock: socket.socket, reply: bytes) -> None:
-        """It has not said what it wants and others need its place, or it takes too long over it."""
+    def _reject_pending(self, sock: socket.socket, reply: bytes) -> None:
+        """Send a downstream away that was evicted before its request was complete, or that is too slow or unwanted."""
         self.counters.add("silent_downstreams")
         sockets.reply_and_close(sock, reply)
 
-    def _admits(self, sock: socket.socket) -> bool:
-        """The first words are whole: it is a request from now on, unless its place was just given away."""
+    def _admit(self, sock: socket.socket) -> bool:
+        """Mark that the request is complete. Returns False if the downstream has been evicted meanwhile."""
         return self.pending_downstreams.remove(sock)
 
-    # The observer of standing connections.
+    # ConnectionObserver, and the callbacks of Connections.
 
-    def _note(self, standing: ProxiedConnection, kind: api.NoteKind, value: float) -> None:
-        self.decisions.handle_event(api.Note(standing.id, 0, standing.host, kind, value))
+    def _send_note(self, connection: ProxiedConnection, kind: api.NoteKind, value: float) -> None:
+        self.decisions.handle_event(api.Note(connection.id, 0, connection.host, kind, value))
 
-    def on_load(self, standing: ProxiedConnection, value: float) -> None:
-        self._note(standing, api.NoteKind.LOAD, value)
+    def on_load(self, connection: ProxiedConnection, value: float) -> None:
+        """Pass a load that the upstream host reported to the decisions."""
+        self._send_note(connection, api.NoteKind.LOAD, value)
 
-    def on_delay(self, standing: ProxiedConnection, delay: timedelta) -> None:
-        self.delays.record(standing, delay)
+    def on_delay(self, connection: ProxiedConnection, delay: timedelta) -> None:
+        """Record the time that a response took."""
+        self.delays.record(connection, delay)
 
-    def on_host_draining(self, standing: ProxiedConnection) -> None:
-        self.mark_host_draining(standing.host)
+    def on_host_draining(self, connection: ProxiedConnection) -> None:
+        """Mark the connection's upstream host as draining."""
+        self.mark_host_draining(connection.host)
 
-    def on_silent_connection(self, standing: ProxiedConnection, delay: timedelta) -> None:
-        self._note(standing, api.NoteKind.SILENCE, delay / MILLISECOND)
+    def on_silent_connection(self, connection: ProxiedConnection, delay: timedelta) -> None:
+        """Report to the decisions that one connection's upstream host does not answer."""
+        self._send_note(connection, api.NoteKind.SILENCE, delay / MILLISECOND)
 
-    def on_silent_host(self, standing: ProxiedConnection, silent: timedelta) -> None:
-        self.delays.record(standing, silent, answered=False)
-        self._note(standing, api.NoteKind.HUSH, silent / MILLISECOND)
+    def on_silent_host(self, connection: ProxiedConnection, silence: timedelta) -> None:
+        """Report to the decisions that an upstream host answers on none of its connections."""
+        self.delays.record(connection, silence, answered=False)
+        self._send_note(connection, api.NoteKind.HUSH, silence / MILLISECOND)
 
-    def _note_delay(self, standing: ProxiedConnection, delay: timedelta) -> None:
-        self._note(standing, api.NoteKind.DELAY, delay / MILLISECOND)
+    def _report_delay(self, connection: ProxiedConnection, delay: timedelta) -> None:
+        self._send_note(connection, api.NoteKind.DELAY, delay / MILLISECOND)
 
     def mark_host_draining(self, name: str) -> None:
-        """An upstream host's own word that it drains counts like discovery's."""
+        """Mark an upstream host as draining because it said so itself; that counts like a report by discovery."""
         if self.decisions.mark_draining(name):
             self.counters.add("told_draining_by_host")
 
-    def on_check_result(self, name: str, opinion: CheckResult) -> None:
-        if self.decisions.apply_check(name, opinion.takes_work, opinion.share):
+    def on_check_result(self, name: str, result: CheckResult) -> None:
+        """Apply the result of a health check to an upstream host."""
+        if self.decisions.apply_check(name, result.takes_work, result.share):
             self.counters.add("checks_changed_a_host")
-            self.log.info("check", host=name, takes_work=opinion.takes_work, share=opinion.share)
+            self.log.info("check", host=name, takes_work=result.takes_work, share=result.share)
 
-    def share_of_hosts(self) -> float:
-        """The part of the listed upstream hosts that takes work."""
+    def running_share(self) -> float:
+        """Return the share of the listed upstream hosts that accept requests; 0 if none is listed."""
         hosts = self.cluster.hosts()
         return sum(h.state is api.State.RUNNING for h in hosts) / len(hosts) if hosts else 0.0
 
 
 class LineFront(Front):
-    """The platform's line protocol."""
+    """A front for the platform's line protocol."""
 
     name = "lines"
-    key = "listen"
+    address_key = "listen"
 
-    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+    def make_prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+        """Return the functions described at ``Front.make_prober``, with a connection for the line protocol."""
         prober = lines.Prober(self._dial)
         return prober.probe, prober.close
 
     def serve(self, sock: socket.socket) -> None:
-        """The first line of a downstream: a health check, or a request whose life begins."""
+        """Answer PINGs until the line of a request has come, and serve the request."""
         reader = sockets.LineReader(sock, lines.MAX_LINE_BYTES)
         until = now() + FIRST_LINE_TIMEOUT
         try:
@@ -335,34 +372,35 @@
                 line = reader.line(until - now())
                 if line is None:
                     if self.pending_downstreams.was_evicted(sock):
-                        self._turn_away(sock, lines.BUSY)
+                        self._reject_pending(sock, lines.BUSY)
                     return
                 if sockets.decode_line(line) != "PING":
                     break
                 sockets.write(sock, [lines.BUSY if self.is_drained else lines.PONG])
             else:
-                raise lines.MalformedRequestError("PING and nothing else")
-            asked, head = lines.parse_open(line)
+                raise lines.MalformedRequestError("PINGs without a request")
+            request, head = lines.parse_open(line)
         except TimeoutError:
-            self._turn_away(sock, lines.ERR)
+            self._reject_pending(sock, lines.ERR)
             return
         except (sockets.LineTooLongError, lines.MalformedRequestError) as error:
-            self._reject(sock, lines.ERR, error)
+            self._reject_malformed(sock, lines.ERR, error)
             return
-        if not self._admits(sock):
-            self._turn_away(sock, lines.BUSY)
+        if not self._admit(sock):
+            self._reject_pending(sock, lines.BUSY)
             return
-        serve_request(self.context, lines.LineDownstream(sock, reader, asked, head), asked)
+        serve_request(self.context, lines.LineDownstream(sock, reader, request, head), request)
 
 
-class _Names:
-    """A set that tells, in one step, whether a name is new to it."""
+class _NameSet:
+    """A set of names that threads may share; a test and an addition are one step."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._names: set[str] = set()
 
     def add_new(self, name: str) -> bool:
+        """Add a name; return False if it was there already."""
         with self._lock:
             if name in self._names:
                 return False
@@ -375,61 +413,70 @@
 
 
 class NatsFront(Front):
-    """The NATS client protocol."""
+    """A front for the NATS client protocol."""
 
     name = "nats"
-    key = "nats.listen"
-    before_tls = staticmethod(nats.read_info)
+    address_key = "nats.listen"
+    read_before_tls = staticmethod(nats.read_info)
 
     def mark_host_draining(self, name: str) -> None:
-        """A host that has no check is asked for its INFO until it drains no more: no list may ever tell."""
+        """Mark an upstream host as draining because it said so itself.
+
+        The INFO of a host without a health check is read again until the host no longer drains, as discovery may never
+        report that.
+        """
         super().mark_host_draining(name)
-        if name not in self.config.checks and self._watched.add_new(name):
-            threading.Thread(target=self._look_again, args=(name,), name="ldm " + name, daemon=True).start()
+        if name not in self.config.checks and self._rechecked_hosts.add_new(name):
+            threading.Thread(target=self._recheck_draining, args=(name,), name="ldm " + name, daemon=True).start()
 
-    def _look_again(self, name: str) -> None:
+    def _recheck_draining(self, name: str) -> None:
         while (host := self.cluster.find(name)) is not None and host.state is not api.State.RUNNING:
             if self.stopped.wait(DRAIN_RECHECK_INTERVAL.total_seconds()):
                 return
             if nats.has_stopped_draining(self._dial, host, self.config.probe_timeout):
                 self.decisions.apply_check(name, takes_work=True)
                 break
-        self._watched.discard(name)
+        self._rechecked_hosts.discard(name)
 
     def __init__(self, config: NatsConfig, counters: Counters, tracing: TracerHandle | None = None) -> None:
-        self._watched = _Names()
+        self._rechecked_hosts = _NameSet()
         super().__init__(config, counters, tracing)
-        self._greet(config)
+        self._apply_nats_config(config)
 
-    def _greet(self, config: NatsConfig) -> None:
+    def _apply_nats_config(self, config: NatsConfig) -> None:
         self.server_info = config.server_info
-        self.waits = {c.name: timedelta(microseconds=c.deadline_us) for c in config.settings.classes}
+        self.request_timeouts = {c.name: timedelta(microseconds=c.deadline_us) for c in config.settings.classes}
 
-    def reconfigure(self, config: FrontConfig, take_tls: Callable[[], None] | None = None) -> None:
+    def reconfigure(self, config: FrontConfig, apply_tls: Callable[[], None] | None = None) -> None:
+        """Apply a new configuration; see ``Front.reconfigure``."""
         assert isinstance(config, NatsConfig)
-        take_tls = take_tls or self.prepare_tls(config)  # before anything changes: it may refuse
-        self._greet(config)
-        super().reconfigure(config, take_tls)
+        apply_tls = apply_tls or self.prepare_tls(config)  # before anything changes: it may raise ConfigError
+        self._apply_nats_config(config)
+        super().reconfigure(config, apply_tls)
 
-    def prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+    def make_prober(self) -> tuple[ProbeHost, Callable[[], None]]:
+        """Return the functions described at ``Front.make_prober``, with a connection for NATS."""
         prober = nats.Prober(self._dial)
         return prober.probe, prober.close
 
     def serve(self, sock: socket.socket) -> None:
+        """Send INFO, read CONNECT and serve the request."""
         if self.is_drained:
-            self._turn_away(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
+            self._reject_pending(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
             return
         reader = sockets.LineReader(sock, nats.MAX_LINE_BYTES)
         sockets.write(sock, [self.server_info.info_line()])
         try:
-            got = nats.read_connect(sock, reader, self.server_info, self.waits)
+            connected = nats.read_connect(sock, reader, self.server_info, self.request_timeouts)
         except nats.RejectedError as error:
-            self._reject(sock, error.reply, error)
+            self._reject_malformed(sock, error.reply, error)
             return
-        if (got is None and self.pending_downstreams.was_evicted(sock)) or (got is not None and not self._admits(sock)):
-            self._turn_away(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
-        elif got is not None:
-            asked, connect, verbose = got
+        if (connected is None and self.pending_downstreams.was_evicted(sock)) or (
+            connected is not None and not self._admit(sock)
+        ):
+            self._reject_pending(sock, nats.error(nats.CONNECTIONS_EXCEEDED))
+        elif connected is not None:
+            request, connect, verbose = connected
             serve_request(
-                self.context, nats.NatsDownstream(sock, reader, self.server_info, asked, connect, verbose), asked
+                self.context, nats.NatsDownstream(sock, reader, self.server_info, request, connect, verbose), request
             )
--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -86,7 +86,7 @@
         self.active_count = 0
 
     def start(self) -> None:
-        """Start to accept. Does nothing if already started."""
+        """Start accepting. Does nothing if already started."""
         if self._thread.ident is None:
             self._thread.start()
 
