--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -112,7 +112,7 @@
         for number in range(first, first + 50):
             while f"h{number}" not in mine.orders.suspended:
                 with contextlib.suppress(OrderNotSavedError):  # the other has had the lock all the while
-                    mine.change(partial(Orders.suspend, host=f"h{number}", at=S))
+                    mine.change(partial(Orders.suspend, host=f"h{number}", current_time=S))
 
     threads = [threading.Thread(target=order, args=(n,)) for n in (0, 50)]
     for thread in threads:
@@ -254,5 +254,5 @@
     daemon = Daemon(parse_config({"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"seq": 1, "hosts": hosts}}))
     before = threading.active_count()
     for host in hosts:
-        daemon.change_orders(partial(Orders.suspend, host=str(host["host"]), at=now()))
+        daemon.change_orders(partial(Orders.suspend, host=str(host["host"]), current_time=now()))
     assert threading.active_count() == before and len(daemon._plans) == 50
