--- a/bramblestile/operations/connection_codec.py
+++ b/bramblestile/operations/connection_codec.py
@@ -1,4 +1,7 @@
-"""A standing connection of the line front as one message, and back. No I/O: the descriptors travel beside it."""
+"""Converts a proxied connection of the line front to a handoff message and back.
+
+No I/O: the connection's file descriptors are sent beside the message.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,10 @@
 
 
 def encode_connection(connection: ProxiedConnection, request: api.Request) -> dict[str, Any]:
-    """What it goes on by: what was read and not passed on, the questions that are out, the request as it was."""
+    """Return what another process needs to go on with a connection.
+
+    That is the data that was read and not yet sent on, the times of the queries without a response, and the request.
+    """
     return {
         "stand": connection.id,
         "host": connection.host,
@@ -31,7 +37,10 @@
 def decode_connection(
     message: dict[str, Any], downstream: socket.socket, upstream: socket.socket
 ) -> tuple[ProxiedConnection, api.Request]:
-    """KeyError, TypeError or ValueError where the message is not whole."""
+    """Rebuild a connection and its request from a message and the two sockets.
+
+    Raises KeyError, TypeError or ValueError if the message is incomplete or malformed.
+    """
     request = api.Request(**message["request"])
     connection = lines.connection(
         str(message["stand"]),
--- a/bramblestile/operations/move_schedule.py
+++ b/bramblestile/operations/move_schedule.py
@@ -1,8 +1,8 @@
-"""Whom to move when: a stop, a drain and a host taken out all send standing connections away by one plan.
+"""Schedule of moves: which connections to move when, during a stop, a drain or the suspension of a host.
 
-No I/O and no clock: given the time and what still stands, it tells who is due. The moved come back at once, all of
-them, so they are spread evenly over what time there is; who comes up late is fitted into what is left of it, and at the
-end all are due.
+No I/O and no clock: given the time and the connections that are left, the schedule returns those that are due. Moved
+clients reconnect at once, so the moves are spread evenly over the available time. Connections that are established
+late are fitted into what remains of it, and at the end all are due.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 
 class MoveSchedule:
-    """Nobody is due before ``first``; all that stands is due from ``last`` on."""
+    """Moves spread over a period: none is due before ``starts_at``, all that are left are due from ``ends_at`` on."""
 
-    def __init__(self, first: timedelta, last: timedelta) -> None:
-        self.starts_at, self.ends_at = first, max(first, last)
-        self._told = self.starts_at  # up to when those due have been told
-        self._owed = 0.0  # the part of a move that the time so far has not made whole
+    def __init__(self, starts_at: timedelta, ends_at: timedelta) -> None:
+        self.starts_at, self.ends_at = starts_at, max(starts_at, ends_at)
+        self._advanced_to = self.starts_at  # the moves up to this time have been returned
+        self._fraction_due = 0.0  # the part of the next move that has accrued so far
 
-    def due(self, at: timedelta, standing: Sequence[T]) -> Sequence[T]:
-        """Those of ``standing``, none of whom has been told to move yet, who are to be told now."""
-        if at < self.starts_at or not standing:
+    def due(self, current_time: timedelta, remaining: Sequence[T]) -> Sequence[T]:
+        """Return those of ``remaining``, the connections that were not asked to move yet, that are to be moved now."""
+        if current_time < self.starts_at or not remaining:
             return ()
-        if at >= self.ends_at:
-            return standing
-        left, passed = self.ends_at - self._told, max(ZERO_DURATION, at - self._told)
-        self._told = at
-        self._owed += len(standing) * (passed / left)
-        number = min(int(self._owed), len(standing))
-        self._owed -= number
-        return standing[:number]
+        if current_time >= self.ends_at:
+            return remaining
+        time_left, elapsed = self.ends_at - self._advanced_to, max(ZERO_DURATION, current_time - self._advanced_to)
+        self._advanced_to = current_time
+        self._fraction_due += len(remaining) * (elapsed / time_left)
+        count = min(int(self._fraction_due), len(remaining))
+        self._fraction_due -= count
+        return remaining[:count]
--- a/bramblestile/operations/orders.py
+++ b/bramblestile/operations/orders.py
@@ -151,13 +151,13 @@
             if file_stamp == self._file_stamp:
                 return False
             self._file_stamp = file_stamp
-            orders = self._read(self._path)
+            stored_orders = self._read(self._path)
         except FileNotFoundError:
             return False
         except (OSError, ValueError) as error:
             self._log.warning_rate_limited("orders", file=self._path.name, text=f"orders file ignored: {error}")
             return False
-        changed, self.orders = orders != self.orders, orders
+        changed, self.orders = stored_orders != self.orders, stored_orders
         return changed
 
     def _read(self, path: Path) -> Orders:
