--- a/bramblestile/operations/management_api.py
+++ b/bramblestile/operations/management_api.py
@@ -1,4 +1,7 @@
-"""What operators' calls mean. Knows no wire; whatever waits is asked again, so nothing here blocks its caller."""
+"""The management API: what each call does to the balancer. It knows no sockets and never blocks its caller.
+
+A call that cannot be answered at once returns a function that is polled until it returns the response.
+"""
 
 from __future__ import annotations
 
@@ -15,116 +18,134 @@
 
 SUCCESS = HttpResponse(200, "yes")
 NOT_FOUND = HttpResponse(404, "no such path")
-SUSPEND_TIMEOUT = timedelta(milliseconds=500)  # for what is being written to a host to be whole, before the yes
-PendingResponse = Callable[[], HttpResponse | None]  # None: not yet
+SUSPEND_TIMEOUT = timedelta(milliseconds=500)  # for requests that are being sent to a host when it is suspended
+PendingResponse = Callable[[], HttpResponse | None]  # returns None until the response is available
 
 
 class ManagedBalancer(Protocol):
-    """What can be done to a balancer. None of it waits for a socket or for the decisions."""
+    """What the management API needs from the balancer. No method waits for a socket or for the decisions' lock."""
 
-    def unready_reason(self) -> str | None: ...
+    def unready_reason(self) -> str | None:
+        """Return why the process is not ready to serve, or None if it is."""
 
     def is_known(self, host: str) -> bool:
-        """The host is listed, or is out by an order."""
+        """Return whether the host is listed or suspended."""
 
     def started_at(self, host: str) -> timedelta | None:
-        """Its last start, as listed."""
+        """Return the time of the host's last start according to the list, or None if that is unknown."""
 
     def change_orders(self, change: Callable[[Orders], Orders]) -> None:
-        """Save and apply it; no send that it forbids begins after the return. Raises OrderNotSavedError."""
+        """Save and apply a change to the orders; after the return no send begins that they forbid.
+
+        Raises OrderNotSavedError if they cannot be saved; they then stay as they were.
+        """
 
     def has_no_sends_in_progress(self, host: str) -> bool:
-        """No request is being sent there."""
+        """Return whether no request is being sent to the host."""
 
     def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
-        """A call about the order of work: what is to be asked until it gives status and text. None: there is none."""
+        """Submit a call to the maintenance service.
+
+        Returns a function to poll until it returns the status and the text of the response, or None if this balancer
+        takes no part in maintenance.
+        """
 
     def fleet_view(self) -> str | None:
-        """The members of the fleet, as JSON; None where this balancer is in none."""
+        """Return the members of the fleet as JSON, or None if this balancer belongs to no fleet."""
 
 
 class ManagementApi:
-    """Each call is logged with who called and what came of it, and counted."""
+    """Handles management calls. Each call is counted, and logged with its caller and its result."""
 
-    def __init__(self, operated: ManagedBalancer, counters: Counters) -> None:
-        self._operated = operated
+    def __init__(self, balancer: ManagedBalancer, counters: Counters) -> None:
+        self._balancer = balancer
         self._counters = counters
         self._log = Log()
 
-    def handle(self, call: HttpRequest) -> HttpResponse | PendingResponse:
-        if call.path[:1] != ("v1",):
+    def handle(self, request: HttpRequest) -> HttpResponse | PendingResponse:
+        """Perform a call and return its response, or a function to poll for the response."""
+        if request.path[:1] != ("v1",):
             return NOT_FOUND
-        match call.path[1:]:
+        match request.path[1:]:
             case ("readyz",):
-                if call.method not in ("GET", "HEAD"):
+                if request.method not in ("GET", "HEAD"):
                     return HttpResponse(405, "GET it", allow="GET, HEAD")
-                why = self._operated.unready_reason()
-                return SUCCESS if why is None else HttpResponse(503, why)
+                reason = self._balancer.unready_reason()
+                return SUCCESS if reason is None else HttpResponse(503, reason)
             case ("work",) | ("work", "history"):
-                if call.method not in ("GET", "HEAD"):
+                if request.method not in ("GET", "HEAD"):
                     return HttpResponse(405, "GET it", allow="GET, HEAD")
-                return self._work("history" if len(call.path) > 2 else "show", "")
+                return self._call_maintenance("history" if len(request.path) > 2 else "show", "")
             case ("work", "plan" | "start" | "pause" | "resume" | "abort" as verb):
-                return self._put(call) or self._work(verb, call.body.decode("utf-8", "replace"))
+                return self._require_put(request) or self._call_maintenance(
+                    verb, request.body.decode("utf-8", "replace")
+                )
             case ("work", "done" | "drop" | "forget" as verb, name):
-                return self._put(call) or self._work(verb, name)
+                return self._require_put(request) or self._call_maintenance(verb, name)
             case ("fleet",):
-                if call.method not in ("GET", "HEAD"):
+                if request.method not in ("GET", "HEAD"):
                     return HttpResponse(405, "GET it", allow="GET, HEAD")
-                told = self._operated.fleet_view()
-                return HttpResponse(404, "this balancer is in no fleet") if told is None else HttpResponse(200, told)
-            case ("balancer", "drain" | "activate" as what):
-                return self._put(call) or self._drain(what == "drain")
-            case ("image-servers", host, "suspend" | "resume" as what):
-                return self._put(call) or self._host(host, what == "suspend")
+                fleet = self._balancer.fleet_view()
+                return HttpResponse(404, "this balancer is in no fleet") if fleet is None else HttpResponse(200, fleet)
+            case ("balancer", "drain" | "activate" as action):
+                return self._require_put(request) or self._set_drained(action == "drain")
+            case ("image-servers", host, "suspend" | "resume" as action):
+                return self._require_put(request) or self._set_suspended(host, action == "suspend")
         return NOT_FOUND
 
-    def _work(self, verb: str, text: str) -> HttpResponse | PendingResponse:
-        pending = self._operated.call_maintenance(verb, text)
-        if pending is None:
+    def _call_maintenance(self, verb: str, text: str) -> HttpResponse | PendingResponse:
+        poll = self._balancer.call_maintenance(verb, text)
+        if poll is None:
             return HttpResponse(404, "this balancer has no part in an order of work")
 
-        def answer() -> HttpResponse | None:
-            got = pending()
-            return None if got is None else HttpResponse(*got)
+        def pending() -> HttpResponse | None:
+            result = poll()
+            return None if result is None else HttpResponse(*result)
 
-        return answer
+        return pending
 
-    def _put(self, call: HttpRequest) -> HttpResponse | None:
-        return None if call.method == "PUT" else HttpResponse(405, "PUT it", allow="PUT")
+    def _require_put(self, request: HttpRequest) -> HttpResponse | None:
+        return None if request.method == "PUT" else HttpResponse(405, "PUT it", allow="PUT")
 
-    def _drain(self, drained: bool) -> HttpResponse:
-        return self._order(lambda orders: replace(orders, drained=drained)) or SUCCESS
+    def _set_drained(self, drained: bool) -> HttpResponse:
+        return self._change_orders(lambda orders: replace(orders, drained=drained)) or SUCCESS
 
-    def _host(self, host: str, out: bool) -> HttpResponse | PendingResponse:
-        if not self._operated.is_known(host):
+    def _set_suspended(self, host: str, suspended: bool) -> HttpResponse | PendingResponse:
+        if not self._balancer.is_known(host):
             return HttpResponse(404, "no image server of this id is listed")
 
         def change(orders: Orders) -> Orders:
-            return orders.suspend(host, now()) if out else orders.resume(host, now(), self._operated.started_at(host))
+            return (
+                orders.suspend(host, now())
+                if suspended
+                else orders.resume(host, now(), self._balancer.started_at(host))
+            )
 
-        refused = self._order(change)
-        if refused or not out:
-            return refused or SUCCESS
-        until = now() + SUSPEND_TIMEOUT
+        error_response = self._change_orders(change)
+        if error_response or not suspended:
+            return error_response or SUCCESS
+        deadline = now() + SUSPEND_TIMEOUT
 
         def pending() -> HttpResponse | None:
-            """What began to be sent there before the order ends first: from the yes on nothing reaches it."""
-            if self._operated.has_no_sends_in_progress(host):
+            """Succeed once the sends that began before the order have ended; no request reaches the host after that."""
+            if self._balancer.has_no_sends_in_progress(host):
                 return SUCCESS
-            return HttpResponse(503, "taken out, but a request is still being sent there") if now() >= until else None
+            return (
+                HttpResponse(503, "taken out, but a request is still being sent there") if now() >= deadline else None
+            )
 
         return pending() or pending
 
-    def _order(self, change: Callable[[Orders], Orders]) -> HttpResponse | None:
+    def _change_orders(self, change: Callable[[Orders], Orders]) -> HttpResponse | None:
         try:
-            self._operated.change_orders(change)
+            self._balancer.change_orders(change)
         except OrderNotSavedError as error:
             return HttpResponse(503, f"not taken, as it cannot be kept: {error}")
         return None
 
-    def record_response(self, peer: str, method: str, path: str, answer: HttpResponse) -> None:
-        self._counters.add("management_yes" if answer.is_success else "management_no")
-        if method == "GET" or answer.status in (400, 408):
-            return  # asked over and over: counted, not logged
-        self._log.info("management", peer=peer, call=f"{method} {path}", status=answer.status, text=answer.text)
+    def record_response(self, peer: str, method: str, path: str, response: HttpResponse) -> None:
+        """Count a response and log it; responses to GET requests and to malformed requests are only counted."""
+        self._counters.add("management_yes" if response.is_success else "management_no")
+        if method == "GET" or response.status in (400, 408):
+            return  # these repeat too often to be logged
+        self._log.info("management", peer=peer, call=f"{method} {path}", status=response.status, text=response.text)
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -1,8 +1,9 @@
-"""The socket that operators call: one thread polls all callers, so that none of them can hold up another.
+"""The TCP server of the management API. One thread polls all connections, so that no caller can delay another.
 
-Guaranteed: a whole call is answered as soon as its meaning is known; a caller that has not said its whole call after
-``WHOLE`` is told so; there are never more than ``MOST`` callers, and the oldest without a whole call gives way to one
-more; descriptors are set aside at the start, so that callers come in when the data path has taken all others.
+A complete request is answered as soon as its result is known. A caller without a complete request after
+``REQUEST_TIMEOUT`` gets an error. There are at most ``MAX_CALLERS`` connections; beyond that a new one replaces the
+oldest without a complete request. Some file descriptors are reserved at the start, so that operators can connect even
+when the proxied connections use all others.
 """
 
 from __future__ import annotations
@@ -22,76 +23,84 @@
 from bramblestile.operations.management_api import ManagementApi, PendingResponse
 from bramblestile.sockets import Address
 
-MAX_CALLERS = 64  # callers at once
-RESERVED_DESCRIPTORS = 8  # descriptors that only callers get
-REQUEST_TIMEOUT = timedelta(milliseconds=2500)  # from the accept to a whole call: bad clients get an error within 3 s
-RESPONSE_TIMEOUT = timedelta(milliseconds=900)  # from the accept to the answer's last byte; callers expect it in 1 s
-LINGER_TIMEOUT = timedelta(milliseconds=300)  # after our answer, for its reader
-POLL_INTERVAL = timedelta(milliseconds=5)  # between two looks at an answer that waits
-MAX_FORWARDED_RESPONSE_BYTES = 1 << 21  # bytes of another balancer's
-BIND_RETRY_INTERVAL = timedelta(milliseconds=500)  # between two tries for an address that another still has
-
-
-def forward_call(at: str, method: str, path: str, body: str) -> tuple[int, str]:
-    """The answer of another balancer's management address, ``HOST:PORT``, within ``SAID``; blocks that long."""
-    host, _, port = at.rpartition(":")
-    until = now() + RESPONSE_TIMEOUT
-    raw = body.encode() if method == "PUT" else b""
+MAX_CALLERS = 64
+RESERVED_DESCRIPTORS = 8
+REQUEST_TIMEOUT = timedelta(milliseconds=2500)  # from the accept; a bad client must get an error within 3 s
+RESPONSE_TIMEOUT = timedelta(milliseconds=900)  # for writing a response or forwarding a call; it is due within 1 s
+LINGER_TIMEOUT = timedelta(milliseconds=300)  # for the caller to read the response before the connection is closed
+POLL_INTERVAL = timedelta(milliseconds=5)  # between two polls of a pending response
+MAX_FORWARDED_RESPONSE_BYTES = 1 << 21
+BIND_RETRY_INTERVAL = timedelta(milliseconds=500)  # while another process holds the address
+
+
+def forward_call(address: str, method: str, path: str, body: str) -> tuple[int, str]:
+    """Send a call to another balancer's management address, ``HOST:PORT``; return the response's status and text.
+
+    Blocks for up to RESPONSE_TIMEOUT. Returns 503 if the balancer does not answer.
+    """
+    host, _, port = address.rpartition(":")
+    deadline = now() + RESPONSE_TIMEOUT
+    content = body.encode() if method == "PUT" else b""
     try:
         with sockets.dial((host, int(port)), RESPONSE_TIMEOUT) as sock:
-            sock.settimeout(max(0.01, (until - now()).total_seconds()))
-            sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: {len(raw)}\r\n\r\n".encode() + raw)
-            got = b""
-            while len(got) < MAX_FORWARDED_RESPONSE_BYTES and (piece := sock.recv(65536)):
-                got += piece
-        head, _, said = got.partition(b"\r\n\r\n")
-        return int(head.split(b" ", 2)[1]), said.decode("utf-8", "replace").rstrip("\n")
+            sock.settimeout(max(0.01, (deadline - now()).total_seconds()))
+            sock.sendall(
+                f"{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {len(content)}\r\n\r\n".encode()
+                + content
+            )
+            response = b""
+            while len(response) < MAX_FORWARDED_RESPONSE_BYTES and (data := sock.recv(65536)):
+                response += data
+        head, _, text = response.partition(b"\r\n\r\n")
+        return int(head.split(b" ", 2)[1]), text.decode("utf-8", "replace").rstrip("\n")
     except (OSError, ValueError, IndexError) as error:
-        return 503, f"the leader at {at} does not answer: {error}"
+        return 503, f"the leader at {address} does not answer: {error}"
 
 
-class _Caller:
-    """One connection and how far its call has come."""
+class _Connection:
+    """One caller's connection and the state of its request."""
 
-    __slots__ = ("answered", "call", "out", "parser", "peer", "pending", "since", "sock")
+    __slots__ = ("accepted_at", "parser", "peer", "pending", "request", "responded_at", "sock", "unsent")
 
     def __init__(self, sock: socket.socket, peer: str) -> None:
-        self.sock, self.peer, self.since = sock, peer, now()
+        self.sock, self.peer, self.accepted_at = sock, peer, now()
         self.parser = http.RequestParser()
-        self.call: http.HttpRequest | None = None
+        self.request: http.HttpRequest | None = None
         self.pending: PendingResponse | None = None
-        self.out = b""  # what is still to be written
-        self.answered: timedelta | None = None
+        self.unsent = b""
+        self.responded_at: timedelta | None = None
 
 
 class ManagementServer:
-    """OSError where it can't listen at ``address``, unless ``patient``: then it goes on trying until it can."""
+    """Serves a management API at an address, in a thread of its own.
 
-    def __init__(
-        self, address: Address, operators: ManagementApi, counters: Counters, retry_bind: bool = False
-    ) -> None:
-        self._wanted, self._operators, self._counters = address, operators, counters
+    With ``retry_bind`` an address that is in use is retried until it is free, as during a hot upgrade. Raises OSError
+    if it cannot listen for any other reason.
+    """
+
+    def __init__(self, address: Address, api: ManagementApi, counters: Counters, retry_bind: bool = False) -> None:
+        self._listen_address, self._api, self._counters = address, api, counters
         self._log = Log(listener="management")
-        self._callers: dict[int, _Caller] = {}
-        self._spare: list[int] = []
+        self._connections: dict[int, _Connection] = {}
+        self._reserved: list[int] = []
         self._poll = select.poll()
         self._wake_read, self._wake_write = os.pipe()
         self._poll.register(self._wake_read, select.POLLIN)
         self._sock: socket.socket | None = None
-        self._try_at = now()
+        self._next_bind_at = now()
         self._stopped = False
         try:
             self._listen()
         except OSError as error:
             if not (retry_bind and error.errno == errno.EADDRINUSE):
                 raise
-            self._log.warning("management", text=f"{address[0]}:{address[1]} is still taken; trying on")
+            self._log.warning("management", text=f"{address[0]}:{address[1]} is in use; retrying")
 
     def _listen(self) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(self._wanted)
+            sock.bind(self._listen_address)
             sock.listen(MAX_CALLERS)
         except OSError:
             sock.close()
@@ -99,64 +108,67 @@
         sock.setblocking(False)
         self._sock = sock
         self._poll.register(sock, select.POLLIN)
-        self._set_aside()
+        self._reserve_descriptors()
 
     @property
     def address(self) -> Address:
+        """The address of the listening socket."""
         assert self._sock is not None
         address: Address = self._sock.getsockname()[:2]
         return address
 
     def start(self) -> None:
+        """Start the server's thread."""
         threading.Thread(target=self._run, name="management", daemon=True).start()
 
     def stop(self) -> None:
+        """Tell the server's thread to close all sockets and end."""
         self._stopped = True
         os.write(self._wake_write, b"x")
 
-    def _set_aside(self) -> None:
+    def _reserve_descriptors(self) -> None:
         try:
-            while len(self._spare) < RESERVED_DESCRIPTORS:
-                self._spare.append(os.dup(self._wake_read))
+            while len(self._reserved) < RESERVED_DESCRIPTORS:
+                self._reserved.append(os.dup(self._wake_read))
         except OSError:
-            return  # none to be had now: tried again when a caller ends
+            return  # retried whenever a connection is closed
 
     def _run(self) -> None:
         while not self._stopped:
             try:
-                self._turn()
+                self._run_once()
             except Exception:
-                # Operators must be able to call whatever a single caller has brought about.
+                # A fault that one call brings about must not end the server.
                 self._counters.add("faults")
                 self._log.exception("fault")
-                for caller in list(self._callers.values()):
-                    self._end(caller)
+                for connection in list(self._connections.values()):
+                    self._close(connection)
         if self._sock is not None:
             self._sock.close()
-        for caller in list(self._callers.values()):
-            self._end(caller)
+        for connection in list(self._connections.values()):
+            self._close(connection)
 
-    def _turn(self) -> None:
-        if self._sock is None and now() >= self._try_at:
-            self._try_at = now() + BIND_RETRY_INTERVAL
+    def _run_once(self) -> None:
+        if self._sock is None and now() >= self._next_bind_at:
+            self._next_bind_at = now() + BIND_RETRY_INTERVAL
             try:
                 self._listen()
             except OSError as error:
                 self._log.warning_rate_limited("management", error=repr(error))
-        for fd, events in self._poll.poll(self._until_next()):
+        for fd, events in self._poll.poll(self._poll_timeout_ms()):
             if self._sock is not None and fd == self._sock.fileno():
                 self._accept()
-            elif (caller := self._callers.get(fd)) is not None:
-                self._hear(caller, events)
-        at = now()
-        for caller in list(self._callers.values()):
-            self._look(caller, at)
-
-    def _until_next(self) -> int:
-        """Milliseconds until something is due without anybody's bytes."""
-        if any(c.pending is not None for c in self._callers.values()):
+            elif (connection := self._connections.get(fd)) is not None:
+                self._handle_events(connection, events)
+        current_time = now()
+        for connection in list(self._connections.values()):
+            self._advance(connection, current_time)
+
+    def _poll_timeout_ms(self) -> int:
+        """Return the time until something is due even if no socket is ready."""
+        if any(c.pending is not None for c in self._connections.values()):
             return POLL_INTERVAL // timedelta(milliseconds=1)
-        return 100 if self._callers or self._sock is None else 1000
+        return 100 if self._connections or self._sock is None else 1000
 
     def _accept(self) -> None:
         assert self._sock is not None
@@ -164,105 +176,114 @@
             sock, (host, port) = self._sock.accept()
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE):
-                if self._spare:
-                    os.close(self._spare.pop())
+                if self._reserved:
+                    os.close(self._reserved.pop())  # the next poll accepts the connection with it
                 else:
-                    self._give_way()
+                    self._evict()
             return
         sock.setblocking(False)
-        if len(self._callers) >= MAX_CALLERS:
-            self._give_way()
-        self._callers[sock.fileno()] = _Caller(sock, f"{host}:{port}")
+        if len(self._connections) >= MAX_CALLERS:
+            self._evict()
+        self._connections[sock.fileno()] = _Connection(sock, f"{host}:{port}")
         self._poll.register(sock, select.POLLIN)
 
-    def _give_way(self) -> None:
-        """The oldest that has not said its whole call goes, or the oldest of all."""
-        callers = list(self._callers.values())
-        old = next((c for c in callers if c.call is None), callers[0] if callers else None)
-        if old is not None:
+    def _evict(self) -> None:
+        """Close the oldest connection without a complete request, or else the oldest of all."""
+        connections = list(self._connections.values())
+        oldest = next((c for c in connections if c.request is None), connections[0] if connections else None)
+        if oldest is not None:
             self._counters.add("management_gave_way")
-            if old.call is None and old.answered is None:
-                self._answer(old, http.HttpResponse(503, "too many callers"))
-            self._end(old)
+            if oldest.request is None and oldest.responded_at is None:
+                self._respond(oldest, http.HttpResponse(503, "too many callers"))
+            self._close(oldest)
 
-    def _hear(self, caller: _Caller, events: int) -> None:
+    def _handle_events(self, connection: _Connection, events: int) -> None:
         if events & select.POLLOUT:
-            self._write(caller)
+            self._write(connection)
         if not events & (select.POLLIN | select.POLLHUP | select.POLLERR):
             return
         try:
-            got = caller.sock.recv(4096)
+            data = connection.sock.recv(4096)
         except BlockingIOError:
             return
         except OSError:
-            got = b""
-        if not got:
-            # Before its whole call, it has left; after, its half of the connection may end before our answer.
-            if caller.call is None or caller.answered is not None or events & (select.POLLHUP | select.POLLERR):
-                self._end(caller)
+            data = b""
+        if not data:
+            # Without a complete request the caller has left. With one it may only have closed its sending side.
+            if (
+                connection.request is None
+                or connection.responded_at is not None
+                or events & (select.POLLHUP | select.POLLERR)
+            ):
+                self._close(connection)
             else:
-                self._poll.modify(caller.sock, select.POLLOUT if caller.out else 0)
+                self._poll.modify(connection.sock, select.POLLOUT if connection.unsent else 0)
             return
-        if caller.call is not None or caller.answered is not None:
-            return  # a connection carries one call: what follows is read, so that our end is no reset, and dropped
+        if connection.request is not None or connection.responded_at is not None:
+            return  # later data is read and dropped, because closing a socket with unread data sends a reset
         try:
-            caller.call = caller.parser.feed(got)
-        except http.HttpError as fault:
-            self._answer(caller, fault.response)
+            connection.request = connection.parser.feed(data)
+        except http.HttpError as error:
+            self._respond(connection, error.response)
             return
-        if caller.call is not None:
-            self._begin(caller, caller.call)
-        elif caller.parser.wants_continue:
-            caller.parser.wants_continue = False
-            caller.out += http.CONTINUE_RESPONSE
-            self._write(caller)
-
-    def _begin(self, caller: _Caller, call: http.HttpRequest) -> None:
-        found = self._operators.handle(call)
-        if isinstance(found, http.HttpResponse):
-            self._answer(caller, found)
+        if connection.request is not None:
+            self._handle_request(connection, connection.request)
+        elif connection.parser.wants_continue:
+            connection.parser.wants_continue = False
+            connection.unsent += http.CONTINUE_RESPONSE
+            self._write(connection)
+
+    def _handle_request(self, connection: _Connection, request: http.HttpRequest) -> None:
+        response = self._api.handle(request)
+        if isinstance(response, http.HttpResponse):
+            self._respond(connection, response)
         else:
-            caller.pending = found
-
-    def _look(self, caller: _Caller, at: timedelta) -> None:
-        if caller.pending is not None:
-            found = caller.pending()
-            if found is not None:
-                caller.pending = None
-                self._answer(caller, found)
-        elif caller.call is None and caller.answered is None and at - caller.since >= REQUEST_TIMEOUT:
-            self._answer(caller, http.HttpResponse(408, "no whole call came"))
-        elif caller.answered is not None and at - caller.answered >= (
-            LINGER_TIMEOUT if not caller.out else RESPONSE_TIMEOUT
+            connection.pending = response
+
+    def _advance(self, connection: _Connection, current_time: timedelta) -> None:
+        """Poll a pending response, or close the connection when it times out."""
+        if connection.pending is not None:
+            response = connection.pending()
+            if response is not None:
+                connection.pending = None
+                self._respond(connection, response)
+        elif (
+            connection.request is None
+            and connection.responded_at is None
+            and current_time - connection.accepted_at >= REQUEST_TIMEOUT
+        ):
+            self._respond(connection, http.HttpResponse(408, "no whole call came"))
+        elif connection.responded_at is not None and current_time - connection.responded_at >= (
+            LINGER_TIMEOUT if not connection.unsent else RESPONSE_TIMEOUT
         ):
-            self._end(caller)  # it has had its answer, or does not read it
-
-    def _answer(self, caller: _Caller, answer: http.HttpResponse) -> None:
-        call = caller.call
-        path = "/" + "/".join(call.path) if call else ""
-        self._operators.record_response(caller.peer, call.method if call else "", path, answer)
-        caller.answered = now()
-        caller.out += http.encode_response(answer, caller.parser.method)
-        self._write(caller)
-
-    def _write(self, caller: _Caller) -> None:
-        """As much as goes at once; the rest when there is room. Then our end, which lets the caller read to its end."""
+            self._close(connection)  # the response was read, or the caller does not read it
+
+    def _respond(self, connection: _Connection, response: http.HttpResponse) -> None:
+        request = connection.request
+        path = "/" + "/".join(request.path) if request else ""
+        self._api.record_response(connection.peer, request.method if request else "", path, response)
+        connection.responded_at = now()
+        connection.unsent += http.encode_response(response, connection.parser.method)
+        self._write(connection)
+
+    def _write(self, connection: _Connection) -> None:
+        """Write what the socket accepts, the rest once it is writable; after a response close the sending side."""
         try:
-            while caller.out:
-                caller.out = caller.out[caller.sock.send(caller.out) :]
+            while connection.unsent:
+                connection.unsent = connection.unsent[connection.sock.send(connection.unsent) :]
         except BlockingIOError:
-            self._poll.modify(caller.sock, select.POLLIN | select.POLLOUT)
+            self._poll.modify(connection.sock, select.POLLIN | select.POLLOUT)
             return
         except OSError:
-            caller.out = b""
-            caller.answered = caller.answered or now() - LINGER_TIMEOUT
+            connection.unsent = b""
+            connection.responded_at = connection.responded_at or now() - LINGER_TIMEOUT
             return
-        self._poll.modify(caller.sock, select.POLLIN)
-        if caller.answered is not None:
-            sockets.shut_down(caller.sock, socket.SHUT_WR)
-
-    def _end(self, caller: _Caller) -> None:
-        if self._callers.pop(caller.sock.fileno(), None) is not None:
-            self._poll.unregister(caller.sock)
-            sockets.close(caller.sock, linger=ZERO_DURATION)
-            self._set_aside()
+        self._poll.modify(connection.sock, select.POLLIN)
+        if connection.responded_at is not None:
+            sockets.shut_down(connection.sock, socket.SHUT_WR)
+
+    def _close(self, connection: _Connection) -> None:
+        if self._connections.pop(connection.sock.fileno(), None) is not None:
+            self._poll.unregister(connection.sock)
+            sockets.close(connection.sock, linger=ZERO_DURATION)
+            self._reserve_descriptors()
