--- a/bramblestile/operations/orders.py
+++ b/bramblestile/operations/orders.py
@@ -211,7 +211,7 @@
         try:
             try:
                 if os.write(descriptor, raw) != len(raw):
-                    raise OSError("no room for the whole file")
+                    raise OSError("no room for the whole of it")
                 status = os.fstat(descriptor)
             finally:
                 os.close(descriptor)
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -241,7 +241,7 @@
             connection.pending = response
 
     def _advance(self, connection: _Connection, current_time: timedelta) -> None:
-        """Poll a pending response, or close the connection when it times out."""
+        """Poll a pending response, reject a request that is late, or close a connection that is done."""
         if connection.pending is not None:
             response = connection.pending()
             if response is not None:
