--- a/bramblestile/operations/handoff.py
+++ b/bramblestile/operations/handoff.py
@@ -1,8 +1,12 @@
-"""Two processes of one balancer while one replaces the other: who is there, and who is ready.
+"""Hot upgrade: hands the state and the connections of a running process over to the process that replaces it.
 
-The running process listens on a Unix socket in the folder that both share. The next one connects, and that is how each
-knows of the other: what lies in a file would outlast a process that was killed. When the running one has ended, the
-next one listens there.
+The running process listens on a Unix socket in a folder that both processes share, and the new one connects to it. A
+file would outlast a process that was killed; a connection ends with its process. Once the running process has ended,
+the new one listens on the socket.
+
+Messages are JSON objects. The successor sends ``hello``, then ``ready`` when it accepts clients, and ``taken`` or
+``refused`` with the id of each connection it was sent. The predecessor sends its state as ``learned`` messages, the
+last of which is null, and each connection as a ``stand`` message with two file descriptors.
 """
 
 from __future__ import annotations
@@ -25,204 +29,216 @@
 from vanegw import interface as api
 
 SOCKET_NAME = "bramblestile.next"
-MAX_MESSAGE_BYTES = 131072  # bytes of one message: a connection holds at most 16 KiB, twice as many in hexadecimal
+MAX_MESSAGE_BYTES = 131072  # a connection holds at most 16 KiB of data, which takes twice as many characters in hex
 BACKLOG = 4
-AdoptConnection = Callable[[dict[str, Any], socket.socket, socket.socket], bool]  # goes on with a connection, if it can
-ADOPTION_TIMEOUT = timedelta(milliseconds=2500)  # for a successor that still lives to say that it has a connection
+AdoptConnection = Callable[[dict[str, Any], socket.socket, socket.socket], bool]  # returns whether it was adopted
+ADOPTION_TIMEOUT = timedelta(milliseconds=2500)  # for the successor's reply to a connection it was sent
 
 
 @contextlib.contextmanager
-def _short(folder: Path) -> Any:
-    """The folder under a path that surely fits a Unix socket's address, which has 108 bytes."""
-    opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _socket_path(folder: Path) -> Any:
+    """Yield a path of the socket that fits into a Unix socket address, which has 108 bytes."""
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{opened}/{SOCKET_NAME}"
+        yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
     finally:
-        os.close(opened)
+        os.close(descriptor)
 
 
 class ProcessHandoff:
-    """One process's part in it. ``predecessor`` holds from ``start`` on until that process has ended."""
+    """One process's side of a hot upgrade, as the successor first and as the predecessor later.
+
+    ``pause_signal`` pauses the connections that are to be handed over. ``adopt`` is called with each connection that
+    the predecessor hands over, ``export_state`` returns the state for a successor, and ``import_state`` is called with
+    each part of the predecessor's state. Failures are logged, and the process serves as if it were alone.
+    """
 
     def __init__(self, folder: Path, counters: Counters) -> None:
         self._folder = folder
         self._counters = counters
         self._log = Log(part="succession")
-        self.pause_signal = PauseSignal()  # what stands here is to be handed on
+        self.pause_signal = PauseSignal()
         self.adopt: AdoptConnection = lambda message, downstream, upstream: False
-        self.export_state: Callable[[], list[dict[str, Any]]] = list  # what a successor is to know
+        self.export_state: Callable[[], list[dict[str, Any]]] = list
         self.import_state: Callable[[dict[str, Any]], None] = lambda message: None
-        self._recalled = threading.Event()
-        self._waits: dict[str, SimpleQueue[bool]] = {}  # for the successor's word on a connection
-        self._link: socket.socket | None = None  # to the predecessor
+        self._state_received = threading.Event()  # or the predecessor has ended
+        self._replies: dict[str, SimpleQueue[bool]] = {}  # by id of the connection: whether the successor took it
+        self._predecessor: socket.socket | None = None
         self._lock = threading.Lock()
         self._successor: socket.socket | None = None
-        self._ready = threading.Event()  # that successor has said that it takes clients
+        self._successor_ready = threading.Event()
 
     @property
     def has_predecessor(self) -> bool:
-        return self._link is not None
+        """Whether a predecessor is connected: from ``start`` on until it has ended."""
+        return self._predecessor is not None
 
     def wait_for_ready(self, timeout: timedelta) -> bool:
-        """Whether the successor takes clients. It says so before it tells anybody else, but its word may not have been
-        read when the signal to leave comes: where there is a successor, it is waited for."""
+        """Return whether the successor accepts clients; without a successor return False at once.
+
+        The successor announces this here before it shows it anywhere else, but the message may not have been read yet
+        when the signal to stop arrives. That is why it is waited for.
+        """
         with self._lock:
             if self._successor is None:
                 return False
-        return self._ready.wait(timeout.total_seconds())
+        return self._successor_ready.wait(timeout.total_seconds())
 
     def start(self) -> None:
-        """Finds the predecessor, if there is one. Whatever fails is logged, and the process serves on as if alone."""
+        """Connect to the predecessor; without one, listen for a successor."""
         link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            with _short(self._folder) as path:
+            with _socket_path(self._folder) as path:
                 link.connect(path)
-            link.send(_said({"hello": 1}))
+            link.send(_encode({"hello": 1}))
         except OSError:
             link.close()
             self._listen()
             return
-        self._link = link
-        threading.Thread(target=self._hear_predecessor, args=(link,), name="predecessor", daemon=True).start()
+        self._predecessor = link
+        threading.Thread(target=self._serve_predecessor, args=(link,), name="predecessor", daemon=True).start()
 
     def wait_for_state(self, timeout: timedelta) -> None:
-        """Returns when the predecessor has told what it knows, or there is none."""
+        """Wait until the predecessor has sent its state; return at once if there is none."""
         if self.has_predecessor:
-            self._recalled.wait(timeout.total_seconds())
+            self._state_received.wait(timeout.total_seconds())
 
     def hand_over_all(self) -> None:
-        """All that stands halts, and goes to the successor; what comes up from now on too."""
+        """Pause all connections, and those that are established later, and hand them over to the successor."""
         with self._lock:
             link = self._successor
         if link is not None:
-            self._tell_learned(link)  # what was sent to cold hosts since it was told first
+            self._send_state(link)  # again, for what was sent to cold hosts in the meantime
         self.pause_signal.set()
 
-    def hand_over(self, standing: ProxiedConnection, request: api.Request) -> bool:
-        """The successor's word on a frozen connection. Where it has ended, nobody else carries it; where it lives and
-        says nothing, it may."""
+    def hand_over(self, connection: ProxiedConnection, request: api.Request) -> bool:
+        """Send a paused connection to the successor and return whether this process must let go of it.
+
+        False means that the successor refused it or has ended, so that this process goes on with it. A successor that
+        is alive but does not reply in time may have adopted it; this counts as taken.
+        """
         with self._lock:
-            link = self._successor if self._ready.is_set() else None
-            if link is None or standing.id in self._waits:
+            link = self._successor if self._successor_ready.is_set() else None
+            if link is None or connection.id in self._replies:
                 return False
-            word = self._waits[standing.id] = SimpleQueue()
+            reply = self._replies[connection.id] = SimpleQueue()
         try:
-            raw = _said(encode_connection(standing, request))
-            if len(raw) > MAX_MESSAGE_BYTES or not isinstance(standing.upstream, socket.socket):
+            raw = _encode(encode_connection(connection, request))
+            if len(raw) > MAX_MESSAGE_BYTES or not isinstance(connection.upstream, socket.socket):
                 return False
-            socket.send_fds(link, [raw], [standing.downstream.fileno(), standing.upstream.fileno()])
-            return word.get(timeout=ADOPTION_TIMEOUT.total_seconds())
+            socket.send_fds(link, [raw], [connection.downstream.fileno(), connection.upstream.fileno()])
+            return reply.get(timeout=ADOPTION_TIMEOUT.total_seconds())
         except OSError:
-            return False  # not sent: it has ended
+            return False  # the message was not sent: the successor has ended
         except Empty:
             self._counters.add("handed_on_unsaid")
             return True
         finally:
             with self._lock:
-                self._waits.pop(standing.id, None)
+                self._replies.pop(connection.id, None)
 
-    def _tell_learned(self, link: socket.socket) -> None:
+    def _send_state(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError):
             for part in self.export_state():
-                link.send(_said({"learned": part}))
-            link.send(_said({"learned": None}))
+                link.send(_encode({"learned": part}))
+            link.send(_encode({"learned": None}))
 
     def announce_ready(self) -> None:
-        """This process takes clients from now on; the predecessor may leave."""
-        link = self._link
+        """Tell the predecessor that this process accepts clients, so that it may stop."""
+        link = self._predecessor
         if link is not None:
             with contextlib.suppress(OSError):
-                link.send(_said({"ready": True}))
+                link.send(_encode({"ready": True}))
 
-    def _hear_predecessor(self, link: socket.socket) -> None:
+    def _serve_predecessor(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while True:
                 raw, descriptors, _, _ = socket.recv_fds(link, MAX_MESSAGE_BYTES, 2)
                 if not raw:
                     break
-                self._hear(link, raw, descriptors)
+                self._handle_message(link, raw, descriptors)
         link.close()
-        self._link = None
-        self._recalled.set()
+        self._predecessor = None
+        self._state_received.set()
         self._log.info("succession", text="the predecessor has ended")
         self._listen()
 
-    def _hear(self, link: socket.socket, raw: bytes, descriptors: list[int]) -> None:
-        """One message of the predecessor's: what it has learned, or a connection to go on with."""
-        sides = [socket.socket(fileno=fd) for fd in descriptors]
-        name, taken = "", False
+    def _handle_message(self, link: socket.socket, raw: bytes, descriptors: list[int]) -> None:
+        """Handle a message from the predecessor: a part of its state, or a connection to adopt."""
+        transports = [socket.socket(fileno=fd) for fd in descriptors]
+        connection_id, adopted = "", False
         try:
             message = json.loads(raw)
             if "learned" in message:
                 if message["learned"] is None:
-                    self._recalled.set()
+                    self._state_received.set()
                 else:
                     self.import_state(message["learned"])
                 return
-            name = str(message["stand"])
-            if len(sides) == 2:  # else there were no descriptors to be had here
-                taken = self.adopt(message, *sides)
+            connection_id = str(message["stand"])
+            if len(transports) == 2:  # fewer if this process is out of descriptors
+                adopted = self.adopt(message, *transports)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            self._log.warning("succession", text=f"not understood: {error!r}")
+            self._log.warning("succession", text=f"malformed message: {error!r}")
         finally:
-            if not taken:
-                for side in sides:
-                    side.close()
-        link.send(_said({"taken": name} if taken else {"refused": name}))
+            if not adopted:
+                for transport in transports:
+                    transport.close()
+        link.send(_encode({"taken": connection_id} if adopted else {"refused": connection_id}))
 
     def _listen(self) -> None:
-        """The name is the predecessor's no more; what it may have left there is removed."""
+        """Listen for a successor. The predecessor has ended; a socket file that it left behind is removed."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            with _short(self._folder) as path:
+            with _socket_path(self._folder) as path:
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(path)
                 sock.bind(path)
             sock.listen(BACKLOG)
         except OSError as error:
             sock.close()
-            self._log.warning("succession", text=f"no successor will be heard: {error!r}")
+            self._log.warning("succession", text=f"cannot listen for a successor: {error!r}")
             return
         threading.Thread(target=self._accept, args=(sock,), name="successors", daemon=True).start()
 
     def _accept(self, sock: socket.socket) -> None:
         while True:
             try:
-                came = sock.accept()[0]
+                link = sock.accept()[0]
             except OSError:
                 return
             with self._lock:
-                old, self._successor = self._successor, came
-                self._ready.clear()
-            if old is not None:
-                old.close()  # of two the later one is meant
-            threading.Thread(target=self._hear_successor, args=(came,), name="successor", daemon=True).start()
+                previous, self._successor = self._successor, link
+                self._successor_ready.clear()
+            if previous is not None:
+                previous.close()  # the later of two successors counts
+            threading.Thread(target=self._serve_successor, args=(link,), name="successor", daemon=True).start()
 
-    def _hear_successor(self, link: socket.socket) -> None:
+    def _serve_successor(self, link: socket.socket) -> None:
         with contextlib.suppress(OSError, ValueError, AttributeError):
-            while said := link.recv(MAX_MESSAGE_BYTES):
-                message = json.loads(said)
+            while raw := link.recv(MAX_MESSAGE_BYTES):
+                message = json.loads(raw)
                 if "hello" in message:
-                    self._tell_learned(link)
+                    self._send_state(link)
                 elif message.get("ready"):
                     with self._lock:
                         if self._successor is link:
-                            self._ready.set()
+                            self._successor_ready.set()
                     self._log.info("succession", text="a successor is ready")
                 else:
-                    taken = "taken" in message
+                    adopted = "taken" in message
                     with self._lock:
-                        word = self._waits.get(str(message.get("taken" if taken else "refused")))
-                    if word is not None:
-                        word.put(taken)
+                        reply = self._replies.get(str(message.get("taken" if adopted else "refused")))
+                    if reply is not None:
+                        reply.put(adopted)
         with self._lock:
-            if self._successor is link:  # it has ended: we are not to leave for it
+            if self._successor is link:  # it has ended, so this process must not stop in favour of it
                 self._successor = None
-                self._ready.clear()
-                for word in self._waits.values():
-                    word.put(False)
+                self._successor_ready.clear()
+                for reply in self._replies.values():
+                    reply.put(False)
         link.close()
 
 
-def _said(message: dict[str, Any]) -> bytes:
+def _encode(message: dict[str, Any]) -> bytes:
     return json.dumps(message).encode()
