--- a/bramblestile/tls/budget.py
+++ b/bramblestile/tls/budget.py
@@ -1,12 +1,17 @@
-"""How many handshakes an upstream host is asked for; no I/O.
+"""Limits on the handshakes that an upstream host is asked for. No I/O.
 
-A full handshake costs the host milliseconds of a core (benchmarks/tls_cost.py), a resumed one a fifth or less. After a
-restart all tickets are void, all connections that stood come back, and the host is cold: left to themselves they would
-spend on signatures what little it has. So each host has a bucket of full handshakes, filled at a rate that falls with
-its warmth and with the handshake times seen. What does not fit waits within bounds, or goes elsewhere; nothing queues.
+A full handshake costs the host milliseconds of CPU time (benchmarks/tls_cost.py), a resumed one a fifth of it or less.
+After a host restarts, all session tickets are void, all its connections are established again, and the host is cold:
+without a limit, full handshakes would take the little capacity that it has. Each host therefore has a token bucket of
+full handshakes. Its rate falls with the host's warmth and with the handshake times that are measured. A handshake that
+does not fit waits for a bounded time or is made with another host; there is no queue.
 
-Guarantees: over any span t a host is asked for at most burst + rate * t of cost; a host that has spent nothing for
-1 / (rate * FLOOR) seconds always admits one, so that none is starved; memory is bounded by ``MOST_HOSTS``.
+Guarantees:
+
+- In any period ``t``, a host is asked for at most ``burst + rate * t`` of handshake cost.
+- A host that was asked for nothing for ``1 / (rate * MIN_RATE_FACTOR)`` seconds is always admitted a handshake, so no
+  host is starved.
+- Memory is bounded by ``MAX_HOSTS``.
 """
 
 from __future__ import annotations
@@ -15,20 +20,25 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-MIN_RATE_FACTOR = 0.1  # of the configured rate: what the coldest and slowest host still gets
-SLOW = 3.0  # a full handshake that takes so many times the host's least is a sign of a core that has none to spare
-FALL, RISE = 0.7, 0.02  # of the rate, after a slow handshake and after each that was not: down fast, up slow, as TCP
-LEAST_SLOW = timedelta(milliseconds=25)  # below this none is slow: our own threads' turns are in the time seen too
-SMOOTH = 8  # handshakes over which the time is averaged: a single slow one may be our own fault
-FALL_EVERY = timedelta(seconds=1)  # the rate falls once for one cause, not with each handshake that was under way
-BASE_DRIFT = 1.01  # of the least seen, with each handshake: a host moved farther away must not seem slow for ever
+MIN_RATE_FACTOR = 0.1  # the share of the configured rate that even the coldest and slowest host gets
+SLOW_RATIO = 3.0  # an average this many times the host's fastest full handshake indicates a host short of CPU time
+# After a slow handshake the rate is multiplied by DECREASE_FACTOR, after any other RATE_INCREASE of the configured
+# rate is added: multiplicative decrease and additive increase, as in TCP.
+DECREASE_FACTOR, RATE_INCREASE = 0.7, 0.02
+MIN_SLOW_DURATION = timedelta(milliseconds=25)  # measured times include delays of our own threads, so less is not slow
+AVERAGING_WINDOW = 8  # handshakes; a single slow one may be caused by our own process
+DECREASE_INTERVAL = timedelta(seconds=1)  # handshakes that were in progress together have one cause, and one decrease
+BASELINE_GROWTH = 1.01  # per handshake, so that a host whose network path got longer does not look slow for ever
 MAX_HOSTS = 4096
 
 
 @dataclass(slots=True, frozen=True)
 class HandshakeRates:
-    """``full_per_s``: full handshakes a second that a warm host bears, from all balancers together. ``resumed``: the
-    cost of a resumed one, as a part of a full one's."""
+    """The limits for one host.
+
+    ``full_per_s`` is the number of full handshakes per second that a warm host can serve for all balancers together,
+    ``burst`` the size of the token bucket. ``resumed_cost`` is the cost of a resumed handshake relative to a full one.
+    """
 
     full_per_s: float = 40.0
     burst: float = 8.0
@@ -38,15 +48,15 @@
 @dataclass(slots=True)
 class _Host:
     tokens: float
-    at: timedelta
-    factor: float = 1.0  # what the handshake times have left of the rate
-    least: timedelta | None = None
-    usual: timedelta = timedelta(0)  # averaged
-    fell: timedelta | None = None
+    refilled_at: timedelta
+    rate_factor: float = 1.0  # lowered by slow handshakes
+    baseline: timedelta | None = None  # the fastest full handshake
+    average: timedelta = timedelta(0)
+    decreased_at: timedelta | None = None
 
 
 class HandshakeBudget:
-    """Not for several threads at once: the dialer holds a lock."""
+    """Token buckets of all hosts. Not thread-safe: the dialer holds a lock."""
 
     def __init__(self, rates: HandshakeRates, balancers: int = 1) -> None:
         self.rates = rates
@@ -57,60 +67,67 @@
         host = self._hosts.pop(name, None)
         if host is None:
             if len(self._hosts) >= MAX_HOSTS:
-                del self._hosts[next(iter(self._hosts))]  # the one that nobody has asked for the longest
+                del self._hosts[next(iter(self._hosts))]  # the least recently used one
             host = _Host(self._burst(), now)
         self._hosts[name] = host
         return host
 
     def _burst(self) -> float:
-        """Each balancer has its part; one whole handshake at least, or a small part would admit none ever."""
+        """Return this balancer's share of the burst, at least 1: a smaller bucket would never admit a handshake."""
         return max(1.0, self.rates.burst / self.balancers)
 
     def rate(self, name: str, warmth: float, now: timedelta) -> float:
-        """Full handshakes a second that this balancer may ask of the host."""
-        part = max(MIN_RATE_FACTOR, min(1.0, warmth) * self._host(name, now).factor)
-        return self.rates.full_per_s / self.balancers * part
-
-    def reserve(
-        self, name: str, resumes: bool, warmth: float, now: timedelta, most_wait: timedelta
-    ) -> timedelta | None:
-        """After what wait a handshake may begin; None: not within ``most_wait``, and nothing is taken."""
+        """Return the full handshakes per second that this balancer may ask of the host.
+
+        ``warmth`` is the share of its capacity that the host has reached since its start.
+        """
+        factor = max(MIN_RATE_FACTOR, min(1.0, warmth) * self._host(name, now).rate_factor)
+        return self.rates.full_per_s / self.balancers * factor
+
+    def reserve(self, name: str, resumes: bool, warmth: float, now: timedelta, max_wait: timedelta) -> timedelta | None:
+        """Reserve a handshake and return the time to wait before it may begin.
+
+        Returns None, and reserves nothing, if that time would exceed ``max_wait``.
+        """
         host, rate = self._host(name, now), self.rate(name, warmth, now)
-        passed = max(0.0, (now - host.at).total_seconds())
-        # A cold host's burst is as small as its rate: it is the burst that would push it over.
-        cap = max(1.0, self._burst() * max(MIN_RATE_FACTOR, min(1.0, warmth)))
-        host.tokens, host.at = min(cap, host.tokens + passed * rate), now
+        elapsed_s = max(0.0, (now - host.refilled_at).total_seconds())
+        # The burst shrinks with the warmth as the rate does, since a full burst alone could overload a cold host.
+        capacity = max(1.0, self._burst() * max(MIN_RATE_FACTOR, min(1.0, warmth)))
+        host.tokens, host.refilled_at = min(capacity, host.tokens + elapsed_s * rate), now
         cost = self.rates.resumed_cost if resumes else 1.0
-        short = cost - host.tokens
-        wait = timedelta(microseconds=math.ceil(max(0.0, short) / rate * 1e6))
-        if wait > most_wait:
+        deficit = cost - host.tokens
+        wait = timedelta(microseconds=math.ceil(max(0.0, deficit) / rate * 1e6))
+        if wait > max_wait:
             return None
-        host.tokens -= cost  # below nothing: who comes next waits behind this one
+        host.tokens -= cost  # may become negative: later reservations wait behind this one
         return wait
 
     def refund(self, name: str, resumes: bool, now: timedelta) -> None:
-        """It was not made after all: nobody answered the dial."""
+        """Return the tokens of a handshake that did not take place, because the connection failed."""
         host = self._host(name, now)
         host.tokens = min(self._burst(), host.tokens + (self.rates.resumed_cost if resumes else 1.0))
 
     def charge_full(self, name: str, now: timedelta) -> None:
-        """A ticket was not taken, so the handshake that was paid as resumed was a full one."""
+        """Charge the rest of a full handshake, because the host did not accept the session that was offered."""
         self._host(name, now).tokens -= 1.0 - self.rates.resumed_cost
 
-    def record_duration(self, name: str, took: timedelta, now: timedelta) -> None:
-        """A full handshake's time, by which the rate learns what the host bears."""
+    def record_duration(self, name: str, duration: timedelta, now: timedelta) -> None:
+        """Adjust the host's rate to the duration of a full handshake."""
         host = self._host(name, now)
-        if host.least is None:
-            host.usual = took
-        if host.least is None or took < host.least:
-            host.least = took
-        host.usual += (took - host.usual) / SMOOTH
-        if host.usual <= max(host.least * SLOW, LEAST_SLOW):
-            host.factor = min(1.0, host.factor + RISE)
-        elif host.fell is None or now - host.fell >= FALL_EVERY:
-            host.factor, host.fell = max(MIN_RATE_FACTOR, host.factor * FALL), now
-        host.least *= BASE_DRIFT
+        if host.baseline is None:
+            host.average = duration
+        if host.baseline is None or duration < host.baseline:
+            host.baseline = duration
+        host.average += (duration - host.average) / AVERAGING_WINDOW
+        if host.average <= max(host.baseline * SLOW_RATIO, MIN_SLOW_DURATION):
+            host.rate_factor = min(1.0, host.rate_factor + RATE_INCREASE)
+        elif host.decreased_at is None or now - host.decreased_at >= DECREASE_INTERVAL:
+            host.rate_factor, host.decreased_at = max(MIN_RATE_FACTOR, host.rate_factor * DECREASE_FACTOR), now
+        host.baseline *= BASELINE_GROWTH
 
     def reset(self, name: str) -> None:
-        """Another start of the host, or none: what was learned is void. Its bucket is full, as small as its warmth."""
+        """Discard the state of a host that restarted or disappeared.
+
+        It begins again with a full bucket, whose size its warmth limits.
+        """
         self._hosts.pop(name, None)
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -125,7 +125,7 @@
         """With the lock held. Another start of the host is another host: nothing that was learned holds."""
         if self._born.get(host.id, host.started_at) != host.started_at:
             self._budget.reset(host.id)
-            self._sessions.drop(host.id)
+            self._sessions.remove_host(host.id)
             self._refused_hosts.remove(host.id)
         self._born[host.id] = host.started_at
         if len(self._born) > 2 * MAX_HOSTS:
@@ -135,12 +135,12 @@
         """Waits for the host's budget, or spares it. The ticket that the handshake may resume."""
         at, warmth = self._clock(), self._warmth(host)
         with self._lock:
-            ticket = self._sessions.take(key, at)
+            ticket = self._sessions.acquire(key, at)
             wait = self._budget.reserve(
                 host.id, ticket is not None, warmth, at, max(until - at, ZERO_DURATION) / WAIT_SHARE
             )
-            if wait is None and ticket is not None and ticket.once:
-                self._sessions.put(key, ticket.session, ticket.chain, at, ticket.until - at)
+            if wait is None and ticket is not None and ticket.single_use:
+                self._sessions.add(key, ticket.session, ticket.chain, at, ticket.expires_at - at)
         if wait is None:
             self._counters.add("tls_spared")
             raise DialError(f"tls: {host.id}: no room for another handshake", skipped=True)
@@ -214,7 +214,7 @@
             problem = error.failure
         self._counters.add(f"tls_refused_{problem.reason.value}")
         with self._lock:
-            self._sessions.drop(host.id)
+            self._sessions.remove_host(host.id)
             news = self._refused_hosts.add(host.id, problem, self._clock())
         if news:
             self._log.error("certificate refused", host=host.id, reason=problem.reason.value, text=problem.text)
@@ -240,7 +240,9 @@
 
     def _keep(self, key: SessionKey, channel: TlsChannel) -> None:
         """With the first data: by then TLS 1.3's tickets have come, which follow the handshake."""
-        if key.trust != self._trust.number:  # before the session: to read it copies it, which takes half a millisecond
+        if (
+            key.trust_number != self._trust.number
+        ):  # before the session: to read it copies it, which takes half a millisecond
             return
         session = channel.session()
         if session is None:
@@ -248,7 +250,7 @@
         lifetime = timedelta(seconds=session.ticket_lifetime_hint or session.timeout)
         if lifetime >= RESUME_LEAST:
             with self._lock:
-                self._sessions.put(key, session, channel.chain, self._clock(), lifetime, channel.version != "TLSv1.2")
+                self._sessions.add(key, session, channel.chain, self._clock(), lifetime, channel.version != "TLSv1.2")
 
     def _warn(self, host: str, chain: Sequence[CertificateInfo]) -> None:
         found = verification.next_expiry(chain, self._wall(), self._plan.expiry_warning_period)
@@ -283,7 +285,7 @@
         trust, name, key = self._sought(host)
         until = now() + within
         with self._lock:
-            ticket = self._sessions.take(key, self._clock())
+            ticket = self._sessions.acquire(key, self._clock())
         channel, seen = self._connect(host, trust, name, key, ticket, within, until)
         sockets.close(channel)
         return seen
@@ -368,7 +370,7 @@
         old, self._plan = self._trust, plan
         with self._lock:
             self._budget.rates = plan.rates
-            self._sessions.per_host, self._sessions.age = plan.sessions_per_host, plan.max_session_age
+            self._sessions.sessions_per_host, self._sessions.max_age = plan.sessions_per_host, plan.max_session_age
             if trust is not old:
                 self._trust = trust
                 self._sessions.clear()
--- a/bramblestile/tls/refused_hosts.py
+++ b/bramblestile/tls/refused_hosts.py
@@ -1,7 +1,7 @@
-"""Hosts whose certificate is refused, and when each is looked at again; no I/O.
+"""Hosts whose certificate was refused, and when each is checked again. No I/O.
 
-A refused host takes no new work until it shows a good one. Nobody's request finds that out: it is looked at by itself,
-at a pace that neither loads a broken host nor leaves a mended one out for long.
+A refused host gets no new requests until it presents an acceptable certificate. That is found out by handshakes outside
+of any request, whose interval neither loads a broken host nor keeps a repaired one out of service for long.
 """
 
 from __future__ import annotations
@@ -11,61 +11,66 @@
 
 from bramblestile.tls.verification import VerificationFailure
 
-FIRST = timedelta(seconds=1)  # after which a refused host is looked at, doubled with each look
-LONGEST = timedelta(seconds=15)  # a host that was mended serves again after so long at most
+FIRST_RECHECK_DELAY = timedelta(seconds=1)  # doubled with each failed check
+MAX_RECHECK_DELAY = timedelta(seconds=15)  # a repaired host is back in service within this time
 MAX_HOSTS = 4096
 
 
 @dataclass(slots=True)
 class RefusedHost:
+    """Why a host is refused, the time of its next check, and the number of failed checks."""
+
     failure: VerificationFailure
-    next: timedelta
-    looks: int = 0
+    next_check_at: timedelta
+    failed_checks: int = 0
 
 
 class RefusedHosts:
-    """Not for several threads at once: the dialer holds a lock."""
+    """All refused hosts. Not thread-safe: the dialer holds a lock."""
 
     def __init__(self) -> None:
-        self._held: dict[str, RefusedHost] = {}
-
-    def add(self, host: str, problem: VerificationFailure, now: timedelta) -> bool:
-        """True where it is news: the host was good before, or is refused for another reason."""
-        held = self._held.get(host)
-        if held is None:
-            if len(self._held) >= MAX_HOSTS:
-                del self._held[next(iter(self._held))]
-            self._held[host] = RefusedHost(problem, now + FIRST)
+        self._entries: dict[str, RefusedHost] = {}
+
+    def add(self, host: str, failure: VerificationFailure, now: timedelta) -> bool:
+        """Add or update a host. Return whether it was not refused before, or was for another reason."""
+        entry = self._entries.get(host)
+        if entry is None:
+            if len(self._entries) >= MAX_HOSTS:
+                del self._entries[next(iter(self._entries))]
+            self._entries[host] = RefusedHost(failure, now + FIRST_RECHECK_DELAY)
             return True
-        news, held.failure = held.failure.reason is not problem.reason, problem
-        return news
+        changed, entry.failure = entry.failure.reason is not failure.reason, failure
+        return changed
 
     def record_failed_recheck(self, host: str, now: timedelta) -> None:
-        """A look that proved nothing good: the next one comes later."""
-        held = self._held.get(host)
-        if held is not None:
-            held.looks += 1
-            held.next = now + min(FIRST * 2 ** min(held.looks, 10), LONGEST)
+        """Delay the next check of a host that is still not acceptable."""
+        entry = self._entries.get(host)
+        if entry is not None:
+            entry.failed_checks += 1
+            entry.next_check_at = now + min(FIRST_RECHECK_DELAY * 2 ** min(entry.failed_checks, 10), MAX_RECHECK_DELAY)
 
     def remove(self, host: str) -> RefusedHost | None:
-        """It has shown a good one, or is no more. What it was refused for, if it was."""
-        return self._held.pop(host, None)
+        """Remove a host that is acceptable again or no longer exists, and return its entry if it had one."""
+        return self._entries.pop(host, None)
 
     def failure(self, host: str) -> VerificationFailure | None:
-        held = self._held.get(host)
-        return None if held is None else held.failure
+        """Return why a host is refused, or None if it is not."""
+        entry = self._entries.get(host)
+        return None if entry is None else entry.failure
 
     def due(self, now: timedelta) -> list[str]:
-        return [host for host, held in self._held.items() if held.next <= now]
+        """Return the hosts whose next check is due."""
+        return [host for host, entry in self._entries.items() if entry.next_check_at <= now]
 
     def time_to_recheck(self, now: timedelta) -> timedelta | None:
-        """Until the next look; None: nobody is refused."""
-        return min((max(held.next - now, timedelta(0)) for held in self._held.values()), default=None)
+        """Return the time until the next check is due, or None if no host is refused."""
+        return min((max(entry.next_check_at - now, timedelta(0)) for entry in self._entries.values()), default=None)
 
     def recheck_all(self, now: timedelta) -> None:
-        """Our own files have changed: what was refused may be good now."""
-        for held in self._held.values():
-            held.next, held.looks = now, 0
+        """Make all checks due, because the trusted authorities changed and refused hosts may be acceptable now."""
+        for entry in self._entries.values():
+            entry.next_check_at, entry.failed_checks = now, 0
 
     def hosts(self) -> list[str]:
-        return list(self._held)
+        """Return the names of all refused hosts."""
+        return list(self._entries)
--- a/bramblestile/tls/session_cache.py
+++ b/bramblestile/tls/session_cache.py
@@ -1,9 +1,9 @@
-"""Which session may be resumed with which host; no I/O, and the sessions are opaque.
+"""TLS sessions that may be resumed. No I/O; the session objects are opaque.
 
-A ticket is tied to the host's identity (its name, its start, the name that it must prove) and to the trust under which
-it was verified: it never outlives a changed authority, server name or host. TLS 1.3's are used once (RFC 8446, C.4:
-reuse lets an observer link connections), TLS 1.2's are given back while they last. Bounded in number for each host, in
-hosts and in age.
+A session belongs to the host's identity (its name, its start time and the name that its certificate must contain) and
+to the trust store under which it was verified, so it is never resumed after one of them has changed. A TLS 1.3 session
+is used once, because reuse lets an observer link connections (RFC 8446, C.4); a TLS 1.2 session is used until it
+expires. The number of hosts, the number of sessions of each and their age are bounded.
 """
 
 from __future__ import annotations
@@ -17,83 +17,93 @@
 from bramblestile.tls.verification import CertificateInfo
 
 MAX_HOSTS = 4096
-MOST_AGE = timedelta(days=7)  # RFC 8446, 4.6.1, whatever a server tells
+MAX_SESSION_AGE = timedelta(days=7)  # RFC 8446, 4.6.1, even if a server announces a longer lifetime
 
 
 @dataclass(slots=True, frozen=True)
 class SessionKey:
-    """Whose tickets these are. ``trust`` numbers the files read: each change of them is another."""
+    """What a session belongs to. ``trust_number`` is the number of the trust store."""
 
     host: str
-    born: timedelta | None
+    started_at: timedelta | None
     name: str
-    trust: int
+    trust_number: int
 
 
 @dataclass(slots=True, frozen=True)
 class CachedSession:
-    """``chain`` is what was shown when the session began: resumed, nothing is shown, and it is judged again."""
+    """A session and the chain that the host presented when it began.
+
+    The chain is verified again at each resumption, because the host does not present one then.
+    """
 
     session: Any
     chain: Sequence[CertificateInfo]
-    until: timedelta
-    once: bool = True
+    expires_at: timedelta
+    single_use: bool = True
 
 
 class SessionCache:
-    """Not for several threads at once: the dialer holds a lock."""
+    """The sessions of all hosts. Not thread-safe: the dialer holds a lock."""
+
+    def __init__(self, sessions_per_host: int = 32, max_age: timedelta = timedelta(hours=1)) -> None:
+        self.sessions_per_host = sessions_per_host
+        self.max_age = max_age
+        self._entries: dict[str, tuple[SessionKey, deque[CachedSession]]] = {}
 
-    def __init__(self, per_host: int = 32, age: timedelta = timedelta(hours=1)) -> None:
-        self.per_host = per_host
-        self.age = age
-        self._held: dict[str, tuple[SessionKey, deque[CachedSession]]] = {}
+    def acquire(self, key: SessionKey, now: timedelta) -> CachedSession | None:
+        """Return the newest session that has not expired, since the host is least likely to reject that one.
 
-    def take(self, key: SessionKey, now: timedelta) -> CachedSession | None:
-        """The youngest that still holds: what is older is the likelier to be refused."""
-        held_key, held = self._held.get(key.host, (key, None))
-        if held is None:
+        A single-use session is removed. If the host's sessions have another key, all of them are removed.
+        """
+        cached_key, sessions = self._entries.get(key.host, (key, None))
+        if sessions is None:
             return None
-        if held_key != key:
-            del self._held[key.host]
+        if cached_key != key:
+            del self._entries[key.host]
             return None
-        while held:
-            ticket = held.pop()
-            if now < ticket.until:
-                if not ticket.once:
-                    held.append(ticket)
-                return ticket
-            held.clear()  # the others are older still
+        while sessions:
+            cached = sessions.pop()
+            if now < cached.expires_at:
+                if not cached.single_use:
+                    sessions.append(cached)
+                return cached
+            sessions.clear()  # the others are older still
         return None
 
-    def put(
+    def add(
         self,
         key: SessionKey,
         session: Any,
         chain: Sequence[CertificateInfo],
         now: timedelta,
         lifetime: timedelta,
-        once: bool = True,
+        single_use: bool = True,
     ) -> None:
-        span = min(lifetime, self.age, MOST_AGE)
-        if span <= timedelta(0) or self.per_host <= 0:
+        """Add a session, unless its lifetime is over. The oldest one gives way if the host has too many."""
+        time_to_live = min(lifetime, self.max_age, MAX_SESSION_AGE)
+        if time_to_live <= timedelta(0) or self.sessions_per_host <= 0:
             return
-        held_key, held = self._held.pop(key.host, (key, None))
-        if held is None or held_key != key:
-            if len(self._held) >= MAX_HOSTS:
-                del self._held[next(iter(self._held))]
-            held = deque()
-        self._held[key.host] = key, held
-        if not once:
-            held.clear()  # the newest serves them all
-        elif len(held) >= self.per_host:
-            held.popleft()
-        held.append(CachedSession(session, chain, now + span, once))
-
-    def drop(self, host: str) -> None:
-        self._held.pop(host, None)
+        cached_key, sessions = self._entries.pop(key.host, (key, None))
+        if sessions is None or cached_key != key:
+            if len(self._entries) >= MAX_HOSTS:
+                del self._entries[next(iter(self._entries))]
+            sessions = deque()
+        self._entries[key.host] = key, sessions
+        if not single_use:
+            sessions.clear()  # the newest session is enough for all connections
+        elif len(sessions) >= self.sessions_per_host:
+            sessions.popleft()
+        sessions.append(CachedSession(session, chain, now + time_to_live, single_use))
+
+    def remove_host(self, host: str) -> None:
+        """Remove all sessions of a host."""
+        self._entries.pop(host, None)
 
     def clear(self) -> None:
-        self._held.clear()
+        """Remove all sessions."""
+        self._entries.clear()
 
     def count(self, host: str) -> int:
-        return len(self._held.get(host, (None, ()))[1])
+        """Return the number of sessions of a host."""
+        return len(self._entries.get(host, (None, ()))[1])
