--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -170,7 +170,7 @@
             uri = name.kind is NameKind.URI
             channel = TlsChannel(
                 sock,
-                trust.nameless if uri else trust.named,
+                trust.uri_context if uri else trust.hostname_context,
                 None if uri else name.value,
                 ticket.session if ticket else None,
             )
@@ -382,7 +382,7 @@
             self._changed.set()
 
     def _warn_of_own(self) -> None:
-        for line in self._trust.expiring(self._wall(), self._plan.expiry_warning_period):
+        for line in self._trust.expiry_warnings(self._wall(), self._plan.expiry_warning_period):
             self._log.warning("certificate expires", text=line)
 
 
--- a/bramblestile/tls/trust.py
+++ b/bramblestile/tls/trust.py
@@ -1,4 +1,4 @@
-"""An operator's files, read whole or refused whole, as what handshakes need of them."""
+"""The trust store: an operator's certificate files, loaded as a whole or rejected as a whole."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from bramblestile.tls.verification import CertificateInfo, RevocationList
 
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-_numbers = itertools.count(1)
+_store_numbers = itertools.count(1)
 
 
 class TlsFilesError(Exception):
-    """The text names the key of the configuration and the file, in one line."""
+    """A file cannot be used. The text is one line with the configuration key, the file and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class TlsFiles:
-    """Where an operator keeps them. ``skip_verification`` takes any certificate, or none that is sound."""
+    """The configured files. ``skip_verification`` accepts hosts with any certificate, valid or not."""
 
     ca: Path | None
     cert: Path | None = None
@@ -37,49 +37,55 @@
     skip_verification: bool = False
 
     def paths(self) -> tuple[Path, ...]:
+        """Return the paths of all configured files."""
         return tuple(p for p in (self.ca, self.cert, self.key, self.crl) if p is not None)
 
 
 @dataclass(slots=True, frozen=True)
 class TrustStore:
-    """One state of the files. A session belongs to the context that it was made with, so to one ``Trust``."""
+    """The files as they were at one moment. A TLS session belongs to the context, and so to the store, it began with.
+
+    OpenSSL checks DNS names and IP addresses with ``hostname_context``. URIs are checked by ``verification``, with
+    ``uri_context``. ``contents`` identifies the configuration and the bytes of all files, so that a file that was only
+    touched is not taken for a changed one.
+    """
 
     number: int
-    named: ssl.SSLContext  # OpenSSL checks the name: DNS and IP
-    nameless: ssl.SSLContext  # we check it: URI
+    hostname_context: ssl.SSLContext
+    uri_context: ssl.SSLContext
     revoked: RevocationList
-    own: tuple[CertificateInfo, ...]  # the client's chain
+    client_chain: tuple[CertificateInfo, ...]
     authorities: tuple[CertificateInfo, ...]
-    raw: tuple[bytes, ...] = field(repr=False)  # by which a file that was only touched is told from a new one
+    contents: tuple[bytes, ...] = field(repr=False)
     skip_verification: bool = False
 
-    def expiring(self, now: datetime, within: timedelta) -> list[str]:
-        """A line for each of our own certificates that has expired, or will within the span."""
-        said = []
-        for what, facts in (
-            *(("client certificate", f) for f in self.own[:1]),
-            *(("authority", f) for f in self.authorities),
+    def expiry_warnings(self, now: datetime, warning_period: timedelta) -> list[str]:
+        """Return a line for each certificate of ours that has expired or expires within the warning period."""
+        warnings = []
+        for role, certificate in (
+            *(("client certificate", c) for c in self.client_chain[:1]),
+            *(("authority", c) for c in self.authorities),
         ):
-            left = facts.not_after - now
-            if left <= within:
-                when = (
-                    f"expired {facts.not_after:%Y-%m-%d %H:%M}Z"
-                    if left < timedelta(0)
-                    else (f"expires {facts.not_after:%Y-%m-%d %H:%M}Z, in {left.days} d")
+            remaining = certificate.not_after - now
+            if remaining <= warning_period:
+                expiry = (
+                    f"expired {certificate.not_after:%Y-%m-%d %H:%M}Z"
+                    if remaining < timedelta(0)
+                    else (f"expires {certificate.not_after:%Y-%m-%d %H:%M}Z, in {remaining.days} d")
                 )
-                said.append(f"{what} {facts.subject}: {when}")
-        return said
+                warnings.append(f"{role} {certificate.subject}: {expiry}")
+        return warnings
 
 
 def _read(key: str, path: Path) -> bytes:
     try:
         with open(path, "rb") as file:
-            raw = file.read(certificates.MAX_PEM_BYTES + 1)
+            content = file.read(certificates.MAX_PEM_BYTES + 1)
     except OSError as error:
         raise TlsFilesError(f"{key}: {path}: {error.strerror}") from None
-    if len(raw) > certificates.MAX_PEM_BYTES:
+    if len(content) > certificates.MAX_PEM_BYTES:
         raise TlsFilesError(f"{key}: {path}: over {certificates.MAX_PEM_BYTES} bytes")
-    return raw
+    return content
 
 
 def _check_mode(path: Path) -> None:
@@ -91,12 +97,13 @@
         raise TlsFilesError(f"key: {path}: others may read it (mode {mode:04o}); it must be 0600")
 
 
-def _context(files: TlsFiles, ca: bytes | None, named: bool) -> ssl.SSLContext:
+def _make_context(files: TlsFiles, ca: bytes | None, check_hostname: bool) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = VERSIONS[files.min_version]
-    # A renegotiation could ask for anything in mid-stream; a compressed stream tells of its content by its size.
+    # With renegotiation a host could make any demand in mid-stream, and the size of compressed records reveals their
+    # content.
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
-    context.check_hostname = named and not files.skip_verification
+    context.check_hostname = check_hostname and not files.skip_verification
     if files.skip_verification:
         context.verify_mode = ssl.CERT_NONE
     elif ca is not None:
@@ -106,49 +113,52 @@
     return context
 
 
-def load_trust_store(files: TlsFiles, before: TrustStore | None = None) -> TrustStore:
-    """All files, or TrustError and nothing. ``before`` itself where no byte has changed: its sessions stay good."""
+def load_trust_store(files: TlsFiles, previous: TrustStore | None = None) -> TrustStore:
+    """Load all files, or raise TlsFilesError.
+
+    Returns ``previous`` itself if no byte has changed, so that its TLS sessions remain usable.
+    """
     if files.key is not None:
         _check_mode(files.key)
-    raws = {
+    contents = {
         name: _read(name, path) for name in ("ca", "cert", "key", "crl") if (path := getattr(files, name)) is not None
     }
-    raw = (repr(files).encode(), *raws.values())
-    if before is not None and before.raw == raw:
-        return before
+    identity = (repr(files).encode(), *contents.values())
+    if previous is not None and previous.contents == identity:
+        return previous
     authorities: Sequence[x509.Certificate] = ()
-    own: Sequence[x509.Certificate] = ()
+    client_chain: Sequence[x509.Certificate] = ()
     revoked = RevocationList()
     name = ""
     try:
-        if "ca" in raws:
+        if "ca" in contents:
             name = "ca"
-            authorities = certificates.parse_pem(raws["ca"])
-        if "cert" in raws:
+            authorities = certificates.parse_pem(contents["ca"])
+        if "cert" in contents:
             name = "cert"
-            own = certificates.parse_pem(raws["cert"])
-        if "key" in raws:
+            client_chain = certificates.parse_pem(contents["cert"])
+        if "key" in contents:
             name = "key"
-            certificates.check_key_matches(own[0], raws["key"])
-        if "crl" in raws:
+            certificates.check_key_matches(client_chain[0], contents["key"])
+        if "crl" in contents:
             name = "crl"
-            revoked = certificates.parse_revocation_lists(raws["crl"], authorities)
+            revoked = certificates.parse_revocation_lists(contents["crl"], authorities)
     except CertificateParseError as error:
         raise TlsFilesError(f"{name}: {getattr(files, name)}: {error}") from None
     try:
-        contexts = [_context(files, raws.get("ca"), named) for named in (True, False)]
+        contexts = [_make_context(files, contents.get("ca"), check_hostname) for check_hostname in (True, False)]
     except (ssl.SSLError, OSError) as error:
         raise TlsFilesError(f"cert: {files.cert or files.ca}: {error}") from None
-    # OpenSSL has read the pair from the files by itself: what it read must be what was checked.
-    if any(_read(n, getattr(files, n)) != raws[n] for n in ("cert", "key") if n in raws):
+    # OpenSSL reads certificate and key from the files itself, so make sure that it read what was checked above.
+    if any(_read(n, getattr(files, n)) != contents[n] for n in ("cert", "key") if n in contents):
         raise TlsFilesError(f"cert: {files.cert}: changed while it was read")
     return TrustStore(
-        next(_numbers),
+        next(_store_numbers),
         contexts[0],
         contexts[1],
         revoked,
-        certificates.certificate_infos(own),
+        certificates.certificate_infos(client_chain),
         certificates.certificate_infos(authorities),
-        raw,
+        identity,
         files.skip_verification,
     )
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -332,7 +332,7 @@
             load_trust_store(files, good)
         assert "\n" not in str(caught.value)
     put(two.cert_file.read_bytes(), two.key_file.read_bytes())
-    assert load_trust_store(files, good).own[0].subject == "CN=client-b"
+    assert load_trust_store(files, good).client_chain[0].subject == "CN=client-b"
     stray = Authority("stray")
     with pytest.raises(TlsFilesError, match=r"^crl: .*not signed by an authority of ours"):
         load_trust_store(TlsFiles(ca().ca_file, crl=stray.revoke()))
