--- a/bramblestile/cli/tls.py
+++ b/bramblestile/cli/tls.py
@@ -29,7 +29,7 @@
     assert front.tls is not None
     plan, trust = load_tls(front.tls)
     before = nats.read_info if is_nats and not front.tls.handshake_first else None
-    return Dialer(plan, Counters(), before=before, trust=trust)
+    return Dialer(plan, Counters(), read_preamble=before, trust_store=trust)
 
 
 def _fronts(config: Config) -> list[FrontConfig]:
@@ -87,7 +87,7 @@
 
 
 def _ms(seen: HandshakeResult) -> str:
-    return f"{seen.took // MICROSECOND / 1000:.1f} ms"
+    return f"{seen.duration // MICROSECOND / 1000:.1f} ms"
 
 
 def _show(seen: HandshakeResult) -> None:
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -150,7 +150,7 @@
             self.cluster.find,
             self.decisions.set_closed,
             None if config.handshake_first else self.read_before_tls,
-            trust=trust_store,
+            trust_store=trust_store,
         )
 
     # Reads what an upstream host sends before the TLS handshake; None for a protocol that begins with the handshake.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -116,7 +116,7 @@
     clock = clock or Clock()
     files = plan.pop("files", None) or TlsFiles((by or ca()).ca_file)
     return Dialer(
-        DialerConfig(files, **plan), more.pop("counters", Counters()), wall=clock.wall, clock=clock.steady, **more
+        DialerConfig(files, **plan), more.pop("counters", Counters()), wall_clock=clock.wall, clock=clock.steady, **more
     )
 
 
@@ -191,7 +191,7 @@
     issued, kind, words = BAD[which]
     counters, closed = Counters(), list[tuple[str, bool]]()
     to = host(greets(issued().server_context()))
-    made = dialer(counters=counters, on_close=lambda name, shut: closed.append((name, shut)))
+    made = dialer(counters=counters, set_closed=lambda name, shut: closed.append((name, shut)))
     with pytest.raises(CertificateRefusedError, match="^tls: b0: .*" + words) as caught:
         dial(made, to)
     assert caught.value.failure.reason is kind and not caught.value.skipped
@@ -411,7 +411,7 @@
 def test_a_handshake_that_fails_names_what_the_host_did_and_holds_nothing(play: Any, words: str, host: Any) -> None:
     counters, closed = Counters(), list[Any]()
     made = dialer(
-        counters=counters, handshake_timeout=timedelta(milliseconds=200), on_close=lambda *what: closed.append(what)
+        counters=counters, handshake_timeout=timedelta(milliseconds=200), set_closed=lambda *what: closed.append(what)
     )
     began = now()
     with pytest.raises(sockets.DialError, match=words):
@@ -478,7 +478,7 @@
     clock, closed, counters = Clock(), list[tuple[str, bool]](), Counters()
     to = host(greets(lambda: contexts[-1]))
     made = dialer(
-        clock=clock, counters=counters, on_close=lambda *what: closed.append(what), find=lambda name: to.entry
+        clock=clock, counters=counters, set_closed=lambda *what: closed.append(what), find_host=lambda name: to.entry
     )
     with pytest.raises(CertificateRefusedError):
         dial(made, to)
