--- a/bramblestile/cli/__init__.py
+++ b/bramblestile/cli/__init__.py
@@ -1,5 +1,7 @@
-"""The command line: one program with sub-commands. Needs the extra ``tools``; heavy libraries load in the command
-that uses them. Errors are one line on standard error; the exit is 2 for wrong usage or input, 1 for a failure.
+"""The command line: one program with subcommands. It needs the extra ``tools``.
+
+Heavy libraries are imported by the command that uses them. Errors are one line on standard error. The exit code is 2
+for wrong usage or input and 1 for a failure.
 """
 
 from bramblestile.cli.main import main
--- a/bramblestile/cli/common.py
+++ b/bramblestile/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: errors in one line, times as people write them, progress, output."""
+"""Shared by the commands: errors, file and time parameters, and progress on standard error."""
 
 from __future__ import annotations
 
@@ -17,76 +17,81 @@
 T = TypeVar("T")
 FILE = click.Path(path_type=Path, dir_okay=False)
 OUT = click.Path(path_type=Path)
-_SPAN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)")
-_UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
-PROGRESS_EVERY = 0.2  # seconds between two lines of progress
+_DURATION = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)")
+_UNIT_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
+PROGRESS_INTERVAL_S = 0.2
 
 
 class InputError(click.ClickException):
-    """Input that makes no sense: exit code 2, as for wrong usage."""
+    """The input is invalid; exit code 2, as for wrong usage."""
 
     exit_code = 2
 
 
 class OperationError(InputError):
-    """What was asked for could not be done: exit code 1."""
+    """The operation failed; exit code 1."""
 
     exit_code = 1
 
 
 class TimeParam(click.ParamType[int]):
-    """Microseconds since the epoch. ``+10s`` counts from the trace's first record: it comes as a negative
-    number below any time (``resolve`` tells it)."""
+    """A point in time, converted to microseconds since the epoch.
+
+    A time relative to the first record of a trace, as ``+10s``, is converted to RELATIVE plus that duration, which is a
+    negative number; ``resolve_time`` converts it to a point in time.
+    """
 
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
+        """Convert an ISO time, a number of microseconds, or ``+`` and a duration with a unit."""
         if isinstance(value, int):
             return value
-        span = _SPAN.fullmatch(value[1:]) if value.startswith("+") else None
-        if span:
-            return RELATIVE + round(float(span[1]) * _UNITS[span[2]])
+        duration = _DURATION.fullmatch(value[1:]) if value.startswith("+") else None
+        if duration:
+            return RELATIVE + round(float(duration[1]) * _UNIT_US[duration[2]])
         if value.isascii() and value.isdigit() and len(value) <= 18:
             return int(value)
         try:
-            when = datetime.fromisoformat(value)
+            moment = datetime.fromisoformat(value)
         except ValueError:
             self.fail(
-                f"{value!r} is no time: 2026-12-01T10:00:00.5Z, microseconds since 1970, or +10s from the first record",
+                f"{value!r} is not a time: use 2026-12-01T10:00:00.5Z, microseconds since 1970, or +10s from the start",
                 param,
                 ctx,
             )
-        return round((when if when.tzinfo else when.replace(tzinfo=UTC)).timestamp() * 1_000_000)
+        return round((moment if moment.tzinfo else moment.replace(tzinfo=UTC)).timestamp() * 1_000_000)
 
 
-RELATIVE = -(1 << 60)
+RELATIVE = -(1 << 60)  # below any point in time
 TIME = TimeParam()
 
 
-def resolve_time(value: int | None, first: Callable[[], int]) -> int | None:
+def resolve_time(value: int | None, first_record_us: Callable[[], int]) -> int | None:
+    """Return the point in time of a TIME parameter; ``first_record_us`` returns the time of the first record."""
     if value is None or value >= 0:
         return value
-    return value - RELATIVE + first()
+    return value - RELATIVE + first_record_us()
 
 
-def format_time(at_us: int) -> str:
-    """A time for a person."""
+def format_time(time_us: int) -> str:
+    """Format microseconds since the epoch as a readable UTC time."""
     try:
-        when = datetime.fromtimestamp(at_us / 1e6, UTC)
+        moment = datetime.fromtimestamp(time_us / 1e6, UTC)
     except (ValueError, OverflowError, OSError):
-        return f"{at_us} us"
-    return f"{when:%Y-%m-%d %H:%M:%S}.{at_us % 1_000_000:06}Z"
+        return f"{time_us} us"
+    return f"{moment:%Y-%m-%d %H:%M:%S}.{time_us % 1_000_000:06}Z"
 
 
 @contextmanager
 def report_errors() -> Iterator[None]:
-    """Errors of the disk and of traces become one line. A closed pipe is no error: nobody reads on."""
+    """Turn I/O and trace errors into one-line messages; a closed output pipe ends the command without an error."""
     from bramblestile.trace import TraceError
 
     try:
         yield
     except BrokenPipeError:
-        # What is still in the buffer has nowhere to go, at the exit too.
+        # Python flushes standard output at exit, which would fail again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         raise SystemExit(0) from None
     except KeyboardInterrupt:
@@ -98,15 +103,15 @@
         raise OperationError(f"{error.filename}: {error.strerror}" if error.filename else str(error)) from None
 
 
-def show_progress(rows: Iterable[T], what: str) -> Iterator[T]:
-    """Passes the rows on and tells how many, on standard error, where a person watches."""
+def show_progress(rows: Iterable[T], label: str) -> Iterator[T]:
+    """Yield the rows; if standard error is a terminal, show there how many have passed and how fast."""
     if not sys.stderr.isatty():
         yield from rows
         return
-    began = told = time.monotonic()
+    started = reported = time.monotonic()
     for count, row in enumerate(rows, 1):
         yield row
-        if count % 1000 == 0 and time.monotonic() - told > PROGRESS_EVERY:
-            told = time.monotonic()
-            print(f"\r{what}: {count} records, {count / (told - began):.0f} a second", end="", file=sys.stderr)
+        if count % 1000 == 0 and time.monotonic() - reported > PROGRESS_INTERVAL_S:
+            reported = time.monotonic()
+            print(f"\r{label}: {count} records, {count / (reported - started):.0f} a second", end="", file=sys.stderr)
     print("\r\x1b[K", end="", file=sys.stderr)
--- a/bramblestile/cli/main.py
+++ b/bramblestile/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands."""
+"""The top-level command group and the program's entry point."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 GROUPS = {
     "store": "Read and write the replicated store.",
-    "trace": "Read, cut, merge and sum up trace files.",
-    "lab": "Play many processes of the program with faults between them.",
-    "fleet": "Show which balancers live, as one of them sees it.",
-    "ops": "Ask a balancer whether it is ready, take image servers out, send clients away.",
-    "work": "Take machines out for work, in an order that the balancers settle.",
-    "tls": "Look at the image servers' certificates; make an authority for trying things out.",
+    "trace": "Read, cut, merge and summarise trace files.",
+    "lab": "Run many balancer processes with faults between them.",
+    "fleet": "Show the members of the fleet as one balancer sees them.",
+    "ops": "Check whether a balancer is ready, suspend image servers, drain a balancer.",
+    "work": "Take machines out of service for maintenance, one after the other.",
+    "tls": "Check the image servers' certificates; create an authority for development.",
 }
 
 
-class _Lazy(click.Group):
-    """Each group of commands is a module that is loaded when it is used."""
+class _LazyGroup(click.Group):
+    """A group whose subgroups are modules that are imported when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted([*super().list_commands(ctx), *GROUPS])
@@ -36,12 +36,12 @@
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name not in GROUPS:
             return super().get_command(ctx, cmd_name)
-        found = import_module(f"bramblestile.cli.{cmd_name}").group
-        assert isinstance(found, click.Command)
-        return found
+        command = import_module(f"bramblestile.cli.{cmd_name}").group
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Their one line each without loading them."""
+        """List the commands with their summaries without importing the groups."""
         rows = [
             (name, GROUPS.get(name) or self.commands[name].get_short_help_str(80)) for name in self.list_commands(ctx)
         ]
@@ -49,13 +49,13 @@
             formatter.write_dl(rows)
 
 
-@click.group(cls=_Lazy, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(__version__, prog_name="bramblestile")
 def group() -> None:
     """A balancer for long-lived connections.
 
-    Without a command, or with a FILE alone, it runs one balancer. $EDGE_CONFIG names the platform's configuration,
-    over which an operator's FILE is laid.
+    Without a command, or with only a FILE, it runs one balancer. $EDGE_CONFIG names the platform's configuration;
+    the settings in an operator's FILE override it.
     """
 
 
@@ -64,7 +64,7 @@
 def run(file: Path | None) -> None:
     """Run one balancer, configured by $EDGE_CONFIG and by FILE, until SIGTERM.
 
-    SIGHUP reads the configuration again, SIGUSR1 prints the counters.
+    SIGHUP reloads the configuration, SIGUSR1 prints the counters.
     """
     from bramblestile.process import daemon
 
@@ -74,7 +74,10 @@
 @group.command()
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 def check(file: Path | None) -> None:
-    """Read and check a configuration; name the faulty key and exit with 2, or say what would run."""
+    """Check a configuration and show what would run.
+
+    A faulty key is named on standard error, and the exit code is 2.
+    """
     from bramblestile.process.config import ConfigError, load_config
 
     try:
@@ -85,7 +88,7 @@
         if front is not None:
             listen, hosts = "{}:{}".format(*front.listen), len(front.known_hosts)
             kind = "lines" if front is config.lines else "nats"
-            source = "{}:{}".format(*front.discovery) if front.discovery else "the file alone"
+            source = "{}:{}".format(*front.discovery) if front.discovery else "the file only"
             classes = ", ".join(c.name for c in front.settings.classes)
             click.echo(f"{kind}: listens on {listen}, {hosts} hosts known, list from {source}, classes {classes}")
         if front is not None and front.tls is not None:
@@ -94,11 +97,11 @@
         click.echo(f"trace: into {config.trace.directory} as {config.trace.instance}")
     if config.store is not None:
         click.echo(f"store: {config.store.name} of {', '.join(config.store.peers)}")
-    click.echo("sound")
+    click.echo("the configuration is valid")
 
 
 def _check_tls(config: TlsConfig) -> None:
-    """Reads its files, as the daemon would."""
+    """Read the files of a TLS table as the daemon would, and show what they hold."""
     from bramblestile.process.config import ConfigError
     from bramblestile.process.front import load_tls
 
@@ -113,18 +116,18 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Exit code. Whatever goes wrong comes in one line; click's own usage errors too."""
+    """Run the command line and return the exit code. Every error is one line on standard error."""
     try:
-        ended = group.main(
+        result = group.main(
             None if arguments is None else list(arguments), prog_name="bramblestile", standalone_mode=False
         )
     except click.ClickException as error:
-        at = f"{error.ctx.command_path}: " if isinstance(error, click.UsageError) and error.ctx else ""
-        click.echo(f"bramblestile: {at.removeprefix('bramblestile ')}{error.format_message()}", err=True)
+        command = f"{error.ctx.command_path}: " if isinstance(error, click.UsageError) and error.ctx else ""
+        click.echo(f"bramblestile: {command.removeprefix('bramblestile ')}{error.format_message()}", err=True)
         return error.exit_code
     except click.Abort:
         click.echo("bramblestile: interrupted", err=True)
         return 130
     except SystemExit as error:
         return error.code if isinstance(error.code, int) else int(bool(error.code))
-    return ended if isinstance(ended, int) else 0
+    return result if isinstance(result, int) else 0
--- a/bramblestile/cli/ops.py
+++ b/bramblestile/cli/ops.py
@@ -1,4 +1,4 @@
-"""``bramblestile ops``: the operators' calls to a balancer's management address."""
+"""``bramblestile ops``: calls to a balancer's management API."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from bramblestile.cli.common import InputError, OperationError
 from bramblestile.wire import discovery
 
-TIMEOUT_S = 2.0  # seconds: an answer is owed within 1
+TIMEOUT_S = 2.0  # the management API answers within 1 s
 
 
 def _address(ctx: click.Context, _: click.Parameter, value: str) -> None:
@@ -20,7 +20,7 @@
         raise InputError(f"--at: {error}") from None
 
 
-# The commands of a group with it find the address in ``ctx.obj``.
+# The commands of a group with this option find the address in ``ctx.obj``.
 address_option = click.option(
     "--at",
     envvar="EDGE_MANAGEMENT",
@@ -28,36 +28,40 @@
     metavar="HOST:PORT",
     expose_value=False,
     callback=_address,
-    help="The balancer's management address; $EDGE_MANAGEMENT.",
+    help="The balancer's management address (or $EDGE_MANAGEMENT).",
 )
 
 
 @click.group("ops")
 @address_option
 def group() -> None:
-    """Ask a balancer whether it is ready, take image servers out, send clients away.
+    """Check whether a balancer is ready, suspend image servers, drain a balancer.
 
-    Exit 0: it said yes; 1: no, or nothing, with its reason; 2: wrong usage. Each balancer has to be told by itself.
+    Exit code 0: success; 1: the balancer refused the call or did not answer; 2: wrong usage. A call affects only the
+    balancer that is addressed.
     """
 
 
 def send_call(
     ctx: click.Context, command: str, method: str, path: str, body: bytes = b"", max_bytes: int = 4096
 ) -> str:
-    """What the management address answers to one call, ``most`` bytes of it; Failed where it is not a yes."""
+    """Call the management API and return up to ``max_bytes`` of the response.
+
+    ``command`` is named in error messages. Raises OperationError if there is no successful response.
+    """
     host, port = ctx.obj
-    line = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
-        line.request(method, path, body or None)
-        answer = line.getresponse()
-        said = answer.read(max_bytes).decode("utf-8", "replace").strip()
+        connection.request(method, path, body or None)
+        response = connection.getresponse()
+        text = response.read(max_bytes).decode("utf-8", "replace").strip()
     except (OSError, http.client.HTTPException) as error:
         raise OperationError(f"{command}: {host}:{port}: {error!r}") from None
     finally:
-        line.close()
-    if not 200 <= answer.status < 300:
-        raise OperationError(f"{command}: {host}:{port}: {answer.status} {said}")
-    return said
+        connection.close()
+    if not 200 <= response.status < 300:
+        raise OperationError(f"{command}: {host}:{port}: {response.status} {text}")
+    return text
 
 
 def _call(ctx: click.Context, method: str, path: str) -> None:
@@ -67,7 +71,7 @@
 @group.command()
 @click.pass_context
 def readyz(ctx: click.Context) -> None:
-    """Whether this process is ready to serve."""
+    """Show whether the balancer is ready to serve."""
     _call(ctx, "GET", "/v1/readyz")
 
 
@@ -75,7 +79,7 @@
 @click.argument("id_", metavar="ID")
 @click.pass_context
 def suspend(ctx: click.Context, id_: str) -> None:
-    """Leave image server ID out: nothing new goes there, and what stands is moved within 2 s."""
+    """Suspend image server ID: it gets no new requests, and its connections are moved within 2 s."""
     _call(ctx, "PUT", f"/v1/image-servers/{quote(id_, safe='')}/suspend")
 
 
@@ -83,19 +87,19 @@
 @click.argument("id_", metavar="ID")
 @click.pass_context
 def resume(ctx: click.Context, id_: str) -> None:
-    """Image server ID may serve again, as one that has just started."""
+    """Resume image server ID, which then counts as just started."""
     _call(ctx, "PUT", f"/v1/image-servers/{quote(id_, safe='')}/resume")
 
 
 @group.command()
 @click.pass_context
 def drain(ctx: click.Context) -> None:
-    """Send all clients away; they are moved within 3.3 s."""
+    """Drain the balancer: all clients are moved elsewhere within 3.3 s."""
     _call(ctx, "PUT", "/v1/balancer/drain")
 
 
 @group.command()
 @click.pass_context
 def activate(ctx: click.Context) -> None:
-    """Take clients again."""
+    """End a drain: accept clients again."""
     _call(ctx, "PUT", "/v1/balancer/activate")
--- a/bramblestile/cli/store.py
+++ b/bramblestile/cli/store.py
@@ -1,4 +1,4 @@
-"""``bramblestile store``: an operator's word to the replicated store."""
+"""``bramblestile store``: reads and writes the replicated store."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @click.group("store")
 def group() -> None:
-    """Read and write the replicated store by way of any of its peers.
+    """Read and write the replicated store through any of its peers.
 
-    hosts/NAME holds an agent-check's words for an upstream host (drain, ready, 50% ...).
+    hosts/NAME holds the agent-check state of an upstream host (drain, ready, 50% ...).
     """
 
 
-def _call(peer: str, **said: str) -> dict[str, Any]:
+def _call(peer: str, **command: str) -> dict[str, Any]:
     try:
         address = discovery.address(peer)
     except ValueError as error:
         raise InputError(f"PEER: {error}") from None
     try:
-        answer = peers.send_command(address, said, TIMEOUT)
+        response = peers.send_command(address, command, TIMEOUT)
     except (OSError, ValueError) as error:
         raise OperationError(f"store: {peer}: {error}") from None
-    if not answer.get("ok"):
-        raise OperationError(f"store: {peer}: {answer.get('why', 'the leader did not hear of a majority in time')}")
-    return answer
+    if not response.get("ok"):
+        raise OperationError(f"store: {peer}: {response.get('why', 'no majority confirmed it in time')}")
+    return response
 
 
 @group.command("get")
 @click.argument("peer")
 @click.argument("key")
 def get(peer: str, key: str) -> None:
-    """Print what PEER (HOST:PORT) holds under KEY. It may be behind the others."""
+    """Print the value of KEY at PEER (HOST:PORT), which may lag behind the other peers."""
     click.echo(_call(peer, do="get", key=key).get("value"))
 
 
@@ -48,5 +48,5 @@
 @click.argument("key")
 @click.argument("value")
 def set_(peer: str, key: str, value: str) -> None:
-    """Set KEY to VALUE. Exit 0: a majority holds it; 1: it may still come to hold, or not."""
-    click.echo(f"held by a majority, leader {_call(peer, do='set', key=key, value=value).get('leader')}")
+    """Set KEY to VALUE. Exit code 0: committed by a majority; 1: it is unknown whether it will be committed."""
+    click.echo(f"committed by a majority, leader {_call(peer, do='set', key=key, value=value).get('leader')}")
--- a/bramblestile/cli/work.py
+++ b/bramblestile/cli/work.py
@@ -1,4 +1,4 @@
-"""``bramblestile work``: machines out for work, in an order that the balancers settle among themselves."""
+"""``bramblestile work``: takes machines out of service for maintenance, in an order that the balancers agree on."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 @click.group("work")
 @address_option
 def group() -> None:
-    """Take machines out for work one after the other. Ask any balancer: it passes the call on to the one that leads.
+    """Take machines out of service for maintenance, one after the other.
 
-    Exit 0: it said yes; 1: no, with its reason, or nothing; 2: wrong usage.
+    Any balancer can be addressed; it forwards the call to the leader. Exit code 0: success; 1: the call was refused or
+    not answered; 2: wrong usage.
     """
 
 
@@ -31,20 +32,20 @@
 @click.argument("file", type=FILE)
 @click.pass_context
 def plan(ctx: click.Context, file: Path) -> None:
-    """Show in which order the machines of FILE would go, or why not. Changes nothing."""
-    got = json.loads(_put(ctx, "plan", _read(file)))
-    for number, name in enumerate(got["order"], 1):
-        last = "  (while every balancer is heard)" if name in got["refuge"] else ""
-        click.echo(f"{number:4} {name:20} {got['hall'][name]}{last}")
-    if got["busy"]:
-        click.echo(f"not to be started now: the plan {got['busy']} is on")
+    """Show the order in which the machines of FILE would leave service, or why they cannot. Changes nothing."""
+    proposal = json.loads(_put(ctx, "plan", _read(file)))
+    for number, name in enumerate(proposal["order"], 1):
+        note = "  (only while every balancer is heard)" if name in proposal["refuge"] else ""
+        click.echo(f"{number:4} {name:20} {proposal['hall'][name]}{note}")
+    if proposal["busy"]:
+        click.echo(f"cannot be started now: the plan {proposal['busy']} is active")
 
 
 @group.command()
 @click.argument("file", type=FILE)
 @click.pass_context
 def start(ctx: click.Context, file: Path) -> None:
-    """Begin to take out the machines of FILE."""
+    """Start the plan in FILE."""
     click.echo(_put(ctx, "start", _read(file)))
 
 
@@ -56,60 +57,62 @@
 
 
 @group.command()
-@click.option("--json", "as_json", is_flag=True, help="As the balancer tells it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the balancer's JSON response.")
 @click.pass_context
 def show(ctx: click.Context, as_json: bool) -> None:
-    """Show how far the plan has come, and what it waits for."""
-    got = get_json(ctx, "work", "/v1/work")
+    """Show the progress of the plan and what it waits for."""
+    progress = get_json(ctx, "work", "/v1/work")
     if as_json:
-        click.echo(json.dumps(got, indent=1))
+        click.echo(json.dumps(progress, indent=1))
         return
-    click.echo(f"{got['plan'] or 'no plan'}: {got['status']}; {got['reason']}".rstrip("; "))
-    for machine in got["machines"]:
-        click.echo(_row(machine))
-    if got["why_none"] and got["status"] == "running":
-        click.echo(f"none leaves now: {got['why_none']}")
-    click.echo(f"{got['leader']} leads; {len(got['roster'])} balancers take part")
+    click.echo(f"{progress['plan'] or 'no plan'}: {progress['status']}; {progress['reason']}".rstrip("; "))
+    for machine in progress["machines"]:
+        click.echo(_format_machine(machine))
+    if progress["why_none"] and progress["status"] == "running":
+        click.echo(f"no machine leaves now: {progress['why_none']}")
+    click.echo(f"leader {progress['leader']}; {len(progress['roster'])} balancers take part")
 
 
-def _row(machine: dict[str, Any]) -> str:
-    more = machine["why"]
+def _format_machine(machine: dict[str, Any]) -> str:
+    details = machine["why"]
     if machine["standing"]:
-        more += f" {machine['standing']} connections stand"
+        details += f" {machine['standing']} connections left"
     if machine["waits_for"]:
-        more += "; waits for " + ", ".join(f"{name}: {why}" for name, why in list(machine["waits_for"].items())[:5])
-    return f"  {machine['name']:20} {machine['stage']:8} {more.strip('; ')}".rstrip()
+        details += "; waits for " + ", ".join(
+            f"{name}: {reason}" for name, reason in list(machine["waits_for"].items())[:5]
+        )
+    return f"  {machine['name']:20} {machine['stage']:8} {details.strip('; ')}".rstrip()
 
 
 @group.command()
 @click.pass_context
 def history(ctx: click.Context) -> None:
     """Show the plans that have ended."""
-    for one in get_json(ctx, "work", "/v1/work/history"):
+    for plan in get_json(ctx, "work", "/v1/work/history"):
         click.echo(
-            f"{one['id']}: {one['done']} of {one['machines']} done, {one['dropped']} dropped"
-            f"{', aborted' if one['aborted'] else ''}; {one['reason']}"
+            f"{plan['id']}: {plan['done']} of {plan['machines']} done, {plan['dropped']} dropped"
+            f"{', aborted' if plan['aborted'] else ''}; {plan['reason']}"
         )
 
 
 @group.command()
 @click.pass_context
 def pause(ctx: click.Context) -> None:
-    """Nothing new leaves; what is on its way goes on."""
+    """Pause the plan: no further machine leaves; machines on their way out or back continue."""
     click.echo(_put(ctx, "pause"))
 
 
 @group.command()
 @click.pass_context
 def resume(ctx: click.Context) -> None:
-    """The plan goes on."""
+    """Resume a paused plan."""
     click.echo(_put(ctx, "resume"))
 
 
 @group.command()
 @click.pass_context
 def abort(ctx: click.Context) -> None:
-    """Nothing leaves any more, ever; what is out comes back."""
+    """Abort the plan for good: no further machine leaves, and machines that are out come back."""
     click.echo(_put(ctx, "abort"))
 
 
@@ -117,7 +120,7 @@
 @click.argument("machine")
 @click.pass_context
 def done(ctx: click.Context, machine: str) -> None:
-    """The work on MACHINE, which is out or held, is done: it may come back."""
+    """Report that the work on MACHINE, which is out or held, is done, so that it may come back."""
     click.echo(_put(ctx, "done/" + quote(machine, safe="")))
 
 
@@ -125,7 +128,7 @@
 @click.argument("machine")
 @click.pass_context
 def drop(ctx: click.Context, machine: str) -> None:
-    """MACHINE, which is held, is no longer the plan's concern; balancers may send to it as it is listed."""
+    """Drop MACHINE, which is held, from the plan; balancers then use it according to the host list."""
     click.echo(_put(ctx, "drop/" + quote(machine, safe="")))
 
 
@@ -133,5 +136,5 @@
 @click.argument("balancer")
 @click.pass_context
 def forget(ctx: click.Context, balancer: str) -> None:
-    """BALANCER has ended for good, on your word: nothing waits for it any more."""
+    """Confirm that BALANCER has ended for good, so that nothing waits for it any more."""
     click.echo(_put(ctx, "forget/" + quote(balancer, safe="")))
