--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -1,4 +1,8 @@
-"""Start and stop: builds the parts, waits for signals, and leaves without losing anyone."""
+"""The daemon: builds all parts, handles signals, and stops without losing a request.
+
+On SIGTERM new downstreams are still served for a while, or left to a successor process; then established connections
+are moved, spread over the time until the exit. SIGHUP reads the configuration again, SIGUSR1 logs the counters.
+"""
 
 from __future__ import annotations
 
@@ -53,31 +57,38 @@
     from bramblestile.work.planner import MachineView
     from bramblestile.work.service import MaintenanceService, RoutingConstraints
 
-STACK = 192 * 1024  # bytes; two threads for each standing connection must fit the memory limit
-STILL_COMING = timedelta(milliseconds=600)  # after SIGTERM the front goes on sending for up to 0.4 s
-WAITED = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
-# SIGKILL follows SIGTERM no sooner than the longest deadline, which counts as 3 s at most, plus 0.7 s.
-LONGEST_DEADLINE = timedelta(seconds=3)
-LEAVING_BEYOND = timedelta(milliseconds=600)  # from SIGTERM to the exit, beyond the longest deadline
-MOVES_FROM = timedelta(milliseconds=450)  # sooner, the front might send the moved here again
-LAST_MOVES = timedelta(milliseconds=350)  # before the exit: by then all that stands has been told
-# With a successor only those are moved that it could not take over. By then all others have gone to it.
-MOVES_TO_SUCCESSOR = timedelta(milliseconds=700)
-RECALL_WITHIN = timedelta(milliseconds=500)  # for the process before to tell what it knows
-READY_WITHIN = timedelta(milliseconds=300)  # for the word of a successor that has been heard, at the signal to leave
-HEARD_WITHIN = timedelta(milliseconds=2500)  # without a list for so long a process goes by the one it was given
-# A drain: the front asks PING every 0.1 s and sends for 0.2 s after the first no; at 4 s nobody may be left.
-DRAINED_FROM, DRAINED_BY = timedelta(milliseconds=350), timedelta(milliseconds=3300)
-# A host taken out is stopped 2.25 s after the call (seen in every play, of four days), and then cuts what still stands.
-# What stands goes evenly until then, as each earns until it goes.
-LEFT_FROM, LEFT_BY = timedelta(milliseconds=200), timedelta(milliseconds=2000)
-LEFT_MEAN = (LEFT_FROM + LEFT_BY) / 2  # a client comes back no sooner than it is sent away
-LOOK_EVERY = timedelta(milliseconds=100)  # between two looks at what another process of this balancer was ordered
-TICK = timedelta(milliseconds=20)  # between two looks at what still stands
-
-
-def make_recorder(plan: TraceConfig, counters: Counters) -> Recorder:
-    """Its libraries are loaded here and nowhere else on the way of ``run``: the platform's program has none."""
+THREAD_STACK_BYTES = 192 * 1024  # two threads for each established connection must fit the memory limit
+HANDLED_SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
+# After SIGTERM the platform's front goes on sending requests for up to 0.4 s. SIGKILL follows no sooner than the
+# longest deadline, of which at most 3 s count, plus 0.7 s.
+ACCEPT_AFTER_SIGTERM = timedelta(milliseconds=600)
+MAX_DEADLINE = timedelta(seconds=3)
+EXIT_AFTER_DEADLINE = timedelta(milliseconds=600)  # the exit comes this long after the longest deadline
+STOP_MOVES_START = timedelta(milliseconds=450)  # earlier, the front might send a moved client here again
+STOP_MOVES_END_BEFORE_EXIT = timedelta(milliseconds=350)  # by then all clients have been told to move
+# With a successor, only those connections are moved that it could not adopt. All others have reached it by then.
+STOP_MOVES_START_WITH_SUCCESSOR = timedelta(milliseconds=700)
+STATE_TRANSFER_TIMEOUT = timedelta(milliseconds=500)  # for the predecessor to send what its decisions have learned
+# At the signal to stop, for the ready message of a successor that is connected.
+SUCCESSOR_READY_TIMEOUT = timedelta(milliseconds=300)
+FIRST_LIST_TIMEOUT = timedelta(milliseconds=2500)  # without a list from discovery, the configured one is then used
+# A drain: the front sends PING every 0.1 s and requests for 0.2 s after the first refusal; after 4 s no connection may
+# remain.
+DRAIN_MOVES_START, DRAIN_MOVES_END = timedelta(milliseconds=350), timedelta(milliseconds=3300)
+# A suspended host is stopped 2.25 s after the call, and then cuts its remaining connections. They are moved evenly over
+# the time until then, because each is of use until it is moved.
+SUSPEND_MOVES_START, SUSPEND_MOVES_END = timedelta(milliseconds=200), timedelta(milliseconds=2000)
+SUSPEND_MOVES_MEAN = (SUSPEND_MOVES_START + SUSPEND_MOVES_END) / 2  # a client reconnects only after it is moved
+ORDERS_POLL_INTERVAL = timedelta(milliseconds=100)  # for orders that another process of this balancer has received
+MOVE_TICK = timedelta(milliseconds=20)  # between two checks of which connections are due to move
+TRACE_RESTART_TIMEOUT = timedelta(seconds=2)  # for the old recorder to write what it holds
+
+
+def make_recorder(config: TraceConfig, counters: Counters) -> Recorder:
+    """Create the recorder of the trace. Raises ConfigError if its libraries are not installed.
+
+    They are imported only here, as the installation on the platform has none of them.
+    """
     try:
         from bramblestile.trace import recorder
         from bramblestile.trace.retention import RetentionLimits
@@ -85,19 +96,20 @@
         raise ConfigError(f"trace: needs the extra 'trace' of this package ({error.name} is not installed)") from None
     return recorder.Recorder(
         recorder.RecorderConfig(
-            plan.directory,
-            plan.instance,
-            plan.hall,
-            plan.flush_interval,
-            plan.buffer_size,
-            RetentionLimits(plan.file_bytes, plan.file_age, plan.total_bytes),
-            plan.keep_shares,
+            config.directory,
+            config.instance,
+            config.hall,
+            config.flush_interval,
+            config.buffer_size,
+            RetentionLimits(config.file_bytes, config.file_age, config.total_bytes),
+            config.keep_shares,
         ),
         counters,
     )
 
 
-def make_maintenance(plan: WorkConfig, daemon: Daemon, gossip: Gossip, config: Config) -> MaintenanceService:
+def make_maintenance(work_config: WorkConfig, daemon: Daemon, gossip: Gossip, config: Config) -> MaintenanceService:
+    """Create the maintenance service. Raises ConfigError if its journal cannot be used."""
     from bramblestile.store.journal import JournalError
     from bramblestile.work import service
 
@@ -105,8 +117,8 @@
     try:
         return service.MaintenanceService(
             config.fleet.name,
-            plan.voters,
-            plan.directory,
+            work_config.voters,
+            work_config.directory,
             config.state_directory,
             gossip,
             daemon,
@@ -117,33 +129,48 @@
         raise ConfigError(f"work.directory: {error}") from None
 
 
-def make_gossip(plan: FleetConfig, counters: Counters, patient: bool) -> Gossip:
-    """Its library is loaded here and nowhere else on the way of ``run``: on the platform balancers never talk."""
+def make_gossip(config: FleetConfig, counters: Counters, retry_bind: bool) -> Gossip:
+    """Create the membership of the fleet. Raises ConfigError if its library is not installed or the address is in use.
+
+    With ``retry_bind`` an address in use is tried again, because the predecessor has it until it ends. The library is
+    imported only here, as the installation on the platform lacks it: balancers there exchange no messages.
+    """
     try:
         from bramblestile.fleet import gossip, membership, messages
     except ImportError as error:
         raise ConfigError(f"fleet: needs the extra 'fleet' of this package ({error.name} is not installed)") from None
     protocol = membership.ProtocolConfig(
-        probe_interval=plan.probe_interval,
-        ack_timeout=plan.probe_interval * 0.4,
-        min_suspicion=plan.min_suspicion,
-        max_suspicion=plan.max_suspicion,
+        probe_interval=config.probe_interval,
+        ack_timeout=config.probe_interval * 0.4,
+        min_suspicion=config.min_suspicion,
+        max_suspicion=config.max_suspicion,
     )
-    host, port = plan.advertised
-    with naming_key("fleet.listen", plan.listen):
+    host, port = config.advertised
+    with naming_key("fleet.listen", config.listen):
         return gossip.Gossip(
-            plan.listen,
-            messages.MemberRecord(plan.name, host, port, 0, hall=plan.hall, version=__version__),
-            plan.seeds,
-            plan.keys,
+            config.listen,
+            messages.MemberRecord(config.name, host, port, 0, hall=config.hall, version=__version__),
+            config.seeds,
+            config.keys,
             counters,
             protocol,
-            patient,
+            retry_bind,
         )
 
 
 class Daemon:
-    """The whole program: its fronts, each with a cluster of its own, and one set of counters."""
+    """All parts of the process: the fronts, each with its own cluster, and what they share.
+
+    Implements what the management API (``ManagedBalancer``) and the maintenance service (``Balancer``) need. Raises
+    ConfigError, also from ``start``, if the configuration cannot be applied.
+
+    Attributes:
+        is_shutting_down: Set at the signal to stop; the process reports itself as draining from then on.
+        auxiliary_listeners: Listeners of health checks and of the store's peers, by name.
+        ready: Set once the process can serve requests.
+        order_store: The orders of operators.
+        handoff: Exchange with the process that this one replaces, or that replaces it; None without one.
+    """
 
     def __init__(self, config: Config) -> None:
         self.counters = Counters()
@@ -158,35 +185,35 @@
             self._make_store(config.store, config.seed)
         self.config = config
         self.health = config.health
-        self.auxiliary_listeners: dict[str, Listener] = {}  # where the health protocols are answered
+        self.auxiliary_listeners: dict[str, Listener] = {}
         self.lines = None if config.lines is None else LineFront(config.lines, self.counters, self.tracing)
         self.nats = None if config.nats is None else NatsFront(config.nats, self.counters, self.tracing)
         self.fronts: list[Front] = [front for front in (self.lines, self.nats) if front is not None]
         self.ready = threading.Event()
-        self._recalling = threading.Lock()
-        self._recalled: list[dict[str, Any]] | None = []  # what the process before knew, until it can be taken
-        self._asked = 0, now()  # requests that had come when the fleet was last told
+        self._import_lock = threading.Lock()
+        self._early_state: list[dict[str, Any]] | None = []  # from the predecessor, until it can be imported
+        self._traffic_sample = 0, now()  # accepted requests at the last sample, and its time
         self.order_store = OrderStore(
             config.state_directory if config.management is not None else None,
             "nats" if config.lines is None else config.lines.name,
         )
-        self._ordering = threading.Lock()  # one order at a time
-        self._ordered: SimpleQueue[list[tuple[Front, list[str]]]] = SimpleQueue()
+        self._orders_lock = threading.Lock()  # held while orders or constraints are changed and applied
+        self._changed_hosts: SimpleQueue[list[tuple[Front, list[str]]]] = SimpleQueue()
         self._drained_since: timedelta | None = None
-        # Who is to be moved, and by which plan: all clients (None) or those of a host, and since when.
-        self._plans: dict[tuple[str | None, timedelta], MoveSchedule] = {}
-        self._planned = threading.Event()
+        # The connections that orders move: those of one host, or all (None), and the time of the order.
+        self._move_schedules: dict[tuple[str | None, timedelta], MoveSchedule] = {}
+        self._schedules_changed = threading.Event()
         self.management: ManagementServer | None = None
         self.handoff: ProcessHandoff | None = None
         self.gossip = (
             None
             if config.fleet is None
-            else make_gossip(config.fleet, self.counters, patient=config.inherited_descriptor is not None)
+            else make_gossip(config.fleet, self.counters, retry_bind=config.inherited_descriptor is not None)
         )
         self.maintenance: MaintenanceService | None = None
         self._constraints: RoutingConstraints | None = None
         if self.gossip is not None:
-            self.gossip.metric_source = self._figures
+            self.gossip.metric_source = self._metrics
             if config.work is not None:
                 self.maintenance = make_maintenance(config.work, self, self.gossip, config)
                 for front in self.fronts:
@@ -198,29 +225,30 @@
                 raise ConfigError(f"EDGE_SOCKET_FD: {error}") from None
             if config.state_directory is not None:
                 self.handoff = ProcessHandoff(config.state_directory, self.counters)
-                self.handoff.adopt = self._adopt
+                self.handoff.adopt = self._adopt_connection
                 self.handoff.export_state, self.handoff.import_state = (
                     self.lines.decisions.export_state,
-                    self._recall,
+                    self._import_state,
                 )
                 self.lines.context.successor = self.handoff
 
     def start(self) -> None:
-        self._trace(self.config.trace)  # first: the trace begins with the list that the fronts start from
+        """Start all parts. Returns before the process is ready."""
+        self._restart_trace(self.config.trace)  # first: the trace must contain the list that the fronts start with
         if self.config.management is not None:
-            # Before the fronts take descriptors. Another process of this balancer may have the address a while longer.
-            operators = ManagementApi(self, self.counters)
+            # Before the fronts use descriptors. The predecessor may still have the address for a while.
+            management_api = ManagementApi(self, self.counters)
             with naming_key("management", self.config.management):
                 self.management = ManagementServer(
                     self.config.management,
-                    operators,
+                    management_api,
                     self.counters,
                     retry_bind=self.config.inherited_descriptor is not None,
                 )
             self.management.start()
             for run in (self._run_orders, self._run_plans):
                 threading.Thread(target=run, name=run.__name__, daemon=True).start()
-        self._obey(self.order_store.orders)
+        self._apply_orders(self.order_store.orders)
         if self.handoff is not None:
             self.handoff.start()
         for front in self.fronts:
@@ -229,10 +257,10 @@
             self.gossip.start()
         if self.maintenance is not None:
             self.maintenance.start()
-        threading.Thread(target=self._become_ready, name="ready", daemon=True).start()
+        threading.Thread(target=self._wait_until_ready, name="ready", daemon=True).start()
         if self.config.store is not None and self.store is not None and self.peers is not None:
             self._start_store(self.config.store, self.store, self.peers)
-        asked = (
+        health_services = (
             ("agent", self.health.agent, "agent_check", lambda sock: agent.serve_agent_check(sock, self.health_report)),
             (
                 "http",
@@ -241,79 +269,94 @@
                 lambda sock: agent.serve_http_check(sock, self.health_report, self.health.path),
             ),
         )
-        for key, address, name, answer in asked:
+        for key, address, name, serve in health_services:
             if address is not None:
                 with naming_key(f"health.{key}", address):
-                    self.auxiliary_listeners[name] = Listener(address, answer, self.counters, name)
+                    self.auxiliary_listeners[name] = Listener(address, serve, self.counters, name)
                 self.auxiliary_listeners[name].start()
 
-    def _become_ready(self) -> None:
-        """Ready is who could serve at once: the list is heard, or will not be for a while. Beside a process that still
-        serves, nothing is taken from the socket of both before that."""
-        until = now() + HEARD_WITHIN
+    def _wait_until_ready(self) -> None:
+        """Wait until this process can serve, and announce that.
+
+        It is ready when the list of hosts has been received or has failed to come in time. While the predecessor still
+        serves, nothing is accepted from the shared socket before that.
+        """
+        until = now() + FIRST_LIST_TIMEOUT
         if self.handoff is not None and not self.handoff.has_predecessor:
-            self._take_from_inherited()
+            self._accept_from_inherited()
         for front in self.fronts:
             front.list_received.wait(max(ZERO_DURATION, until - now()).total_seconds())
-        if self.maintenance is not None:  # or it might send where nobody else does
+        if self.maintenance is not None:  # or it might send to a host that the others leave out
             self.maintenance.first_reply.wait(max(ZERO_DURATION, until - now()).total_seconds())
         if self.handoff is not None:
-            self.handoff.wait_for_state(RECALL_WITHIN)
-        with self._recalling:  # only now: what it tells of hosts holds for those that are listed
-            early, self._recalled = self._recalled, None
-        for part in early or ():
-            self._recall(part)
-        self._take_from_inherited()
+            self.handoff.wait_for_state(STATE_TRANSFER_TIMEOUT)
+        with self._import_lock:  # only now, as the state applies to listed hosts only
+            received, self._early_state = self._early_state, None
+        for part in received or ():
+            self._import_state(part)
+        self._accept_from_inherited()
         if self.handoff is not None:
-            self.handoff.announce_ready()  # first: whoever hears of it from us may end the process before at once
+            self.handoff.announce_ready()  # before ``ready``: who sees that may stop the predecessor at once
         self.ready.set()
 
-    def _recall(self, part: dict[str, Any]) -> None:
-        with self._recalling:
-            if self._recalled is not None:
-                self._recalled.append(part)
+    def _import_state(self, part: dict[str, Any]) -> None:
+        """Import a part of the state that the predecessor's decisions have learned, or store it until this is ready."""
+        with self._import_lock:
+            if self._early_state is not None:
+                self._early_state.append(part)
                 return
         assert self.lines is not None
         self.lines.decisions.import_state(part)
 
-    def _adopt(self, message: dict[str, Any], downstream: socket.socket, upstream: socket.socket) -> bool:
-        """Goes on with a connection of the process before."""
+    def _adopt_connection(self, message: dict[str, Any], downstream: socket.socket, upstream: socket.socket) -> bool:
+        """Continue a connection of the predecessor. Returns whether it was adopted."""
         assert self.lines is not None and self.lines.listener is not None
-        standing, request = decode_connection(message, downstream, upstream)
-        for side in (downstream, upstream):
-            sockets.set_options(side)
-        return adopt_connection(self.lines.context, standing, request, self.lines.listener.run_in_thread)
+        connection, request = decode_connection(message, downstream, upstream)
+        for sock in (downstream, upstream):
+            sockets.set_options(sock)
+        return adopt_connection(self.lines.context, connection, request, self.lines.listener.run_in_thread)
 
-    def _take_from_inherited(self) -> None:
+    def _accept_from_inherited(self) -> None:
         if self.lines is not None and self.lines.inherited_socket is not None and self.lines.listener is not None:
             self.lines.listener.start()
 
     def unready_reason(self) -> str | None:
+        """Return why this process cannot serve; None if it can."""
         if self.is_shutting_down:
             return "this process is leaving"
         return None if self.ready.is_set() else "the list of image servers has not been heard yet"
 
-    # What operators order.
+    # ManagedBalancer: what the management API needs.
 
     def is_known(self, host: str) -> bool:
+        """Return whether a host is listed or suspended."""
         return any(front.cluster.is_known(host) for front in self.fronts)
 
     def started_at(self, host: str) -> timedelta | None:
+        """Return a host's last start as listed; None if it is not known."""
         return next(
             (started_at for front in self.fronts if (started_at := front.cluster.started_at(host)) is not None), None
         )
 
     def has_no_sends_in_progress(self, host: str) -> bool:
+        """Return whether no request to this host is being written."""
         return all(front.cluster.has_no_sends_in_progress(host) for front in self.fronts)
 
     def change_orders(self, change: Callable[[Orders], Orders]) -> None:
-        with self._ordering:
-            self._obey(self.order_store.change(change))
+        """Save and apply changed orders; no send that they forbid begins after the return.
+
+        Raises OrderNotSavedError; nothing has changed then.
+        """
+        with self._orders_lock:
+            self._apply_orders(self.order_store.change(change))
+
+    def _apply_orders(self, orders: Orders) -> None:
+        """Apply orders together with the constraints of the maintenance service.
 
-    def _obey(self, orders: Orders) -> None:
-        """The clusters first: they are asked at every send. The module hears of it in the orders' own thread."""
+        The clusters come first, because every send checks them. The decisions are informed by the thread of orders.
+        """
         constraints = self._constraints
-        closed_hosts, back, weight_factors, draining_since = (
+        closed_hosts, resumed_hosts, weight_factors, draining_since = (
             (orders.suspended, orders.resumed, None, {})
             if constraints is None
             else (
@@ -323,167 +366,182 @@
                 constraints.draining_since,
             )
         )
-        changed = [(front, front.cluster.apply_orders(closed_hosts, back, weight_factors)) for front in self.fronts]
+        changed = [
+            (front, front.cluster.apply_orders(closed_hosts, resumed_hosts, weight_factors)) for front in self.fronts
+        ]
         drained = orders.drained or (constraints is not None and constraints.drain_self)
         if drained != (self._drained_since is not None):
             self._drained_since = now() if drained else None
             for front in self.fronts:
                 front.is_drained = drained
-        plans: dict[tuple[str | None, timedelta], MoveSchedule] = {
-            (host, since): MoveSchedule(since + LEFT_FROM, since + LEFT_BY)
+        schedules: dict[tuple[str | None, timedelta], MoveSchedule] = {
+            (host, since): MoveSchedule(since + SUSPEND_MOVES_START, since + SUSPEND_MOVES_END)
             for host, since in {**draining_since, **orders.suspended}.items()
         }
         if self._drained_since is not None:
-            began = self._drained_since
-            plans[None, began] = MoveSchedule(began + DRAINED_FROM, began + DRAINED_BY)
-        self._plans = {key: self._plans.get(key, plan) for key, plan in plans.items()}
-        self._planned.set()
-        self._ordered.put(changed)
+            start = self._drained_since
+            schedules[None, start] = MoveSchedule(start + DRAIN_MOVES_START, start + DRAIN_MOVES_END)
+        self._move_schedules = {key: self._move_schedules.get(key, schedule) for key, schedule in schedules.items()}
+        self._schedules_changed.set()
+        self._changed_hosts.put(changed)
 
     def _run_orders(self) -> None:
+        """Inform the decisions of changed hosts, and apply orders that another process of this balancer has saved."""
         while True:
             try:
-                for front, hosts in self._ordered.get(timeout=LOOK_EVERY.total_seconds()):
+                for front, hosts in self._changed_hosts.get(timeout=ORDERS_POLL_INTERVAL.total_seconds()):
                     front.decisions.refresh_hosts(hosts)
             except Empty:
-                with self._ordering:
+                with self._orders_lock:
                     if self.order_store.reload():
-                        self._obey(self.order_store.orders)
+                        self._apply_orders(self.order_store.orders)
 
     def _run_plans(self) -> None:
-        """Moves by the plans that orders make, also what comes up late or is handed on, until they are called back. One
-        thread for all of them: a host may be out for days, and many at once."""
+        """Move connections by the schedules of orders, also those that are established or adopted later.
+
+        One thread runs all schedules, because many hosts may be suspended at once, and for days.
+        """
         while not self.is_shutting_down:
-            if not self._plans:
-                self._planned.wait()
-                self._planned.clear()
-            for (host, _), plan in self._plans.items():
-                self._evacuate(plan, "drain" if host is None else "out", host)
-            time.sleep(TICK.total_seconds())
+            if not self._move_schedules:
+                self._schedules_changed.wait()
+                self._schedules_changed.clear()
+            for (host, _), schedule in self._move_schedules.items():
+                self._move_due(schedule, "drain" if host is None else "out", host)
+            time.sleep(MOVE_TICK.total_seconds())
 
     def reconfigure(self, config: Config) -> None:
-        """Takes what can change while all that stands stays; names what needs a restart. ConfigError: nothing is taken,
-        as one of the files that the configuration names is faulty."""
+        """Apply what can change in a running process; log what needs a restart.
+
+        Raises ConfigError if a file that the configuration names is faulty; nothing has changed then.
+        """
         fronts = (("lines", self.lines, config.lines), ("nats", self.nats, config.nats))
-        tls = {name: front.prepare_tls(made) for name, front, made in fronts if front is not None and made is not None}
-        for name, front, made in fronts:
-            if front is not None and made is not None:
-                front.reconfigure(made, tls[name])
-            elif front is not None or made is not None:
-                self.log.warning("reload", key=name, text="to add or remove a front needs a restart")
+        apply_tls = {
+            name: front.prepare_tls(new) for name, front, new in fronts if front is not None and new is not None
+        }
+        for name, front, new in fronts:
+            if front is not None and new is not None:
+                front.reconfigure(new, apply_tls[name])
+            elif front is not None or new is not None:
+                self.log.warning("reload", key=name, text="adding or removing a front needs a restart")
         for name in ("health", "store"):
             if getattr(config, name) != getattr(self.config, name):
                 self.log.warning("reload", key=name, text="a change needs a restart")
-        self._rekey(config.fleet)
+        self._reload_fleet_keys(config.fleet)
         log.configure(config.log.level, config.log.format)
         old, self.config = self.config, config
         if config.trace != old.trace:
-            self._trace(config.trace)
+            self._restart_trace(config.trace)
 
-    def _rekey(self, plan: FleetConfig | None) -> None:
-        """A member's keys change in service; all else of it needs a restart."""
+    def _reload_fleet_keys(self, fleet_config: FleetConfig | None) -> None:
+        """Apply new keys; any other change of the membership needs a restart."""
         old = self.config.fleet
-        if plan is not None and old is not None:
+        if fleet_config is not None and old is not None:
             if self.gossip is not None:
-                self.gossip.rekey(plan.keys)
-            old = replace(old, keys=plan.keys)
-        if plan != old:
+                self.gossip.rekey(fleet_config.keys)
+            old = replace(old, keys=fleet_config.keys)
+        if fleet_config != old:
             self.log.warning("reload", key="fleet", text="a change needs a restart")
 
-    def _trace(self, plan: TraceConfig | None) -> None:
-        """Records by this plan from now on; None: not at all."""
+    def _restart_trace(self, config: TraceConfig | None) -> None:
+        """Stop the recorder, and start one with this configuration unless it is None."""
         if self.recorder is not None:
             self.tracing.current = Tracer()
-            self.recorder.stop(timeout=timedelta(seconds=2))
+            self.recorder.stop(timeout=TRACE_RESTART_TIMEOUT)
             self.recorder = None
-        if plan is not None:
-            self.recorder = recorder = make_recorder(plan, self.counters)
+        if config is not None:
+            self.recorder = recorder = make_recorder(config, self.counters)
             recorder.start()
             self.tracing.current = recorder
-            recorder.started(now(), plan.hall, [front.name for front in self.fronts])
+            recorder.started(now(), config.hall, [front.name for front in self.fronts])
 
     def stop_trace(self) -> None:
-        """The last thing that happens: what the stop did is in it."""
+        """End the trace; called last, so that the trace contains what the stop did."""
         if self.recorder is not None:
-            self.recorder.stopped(now(), len(self._standing()))
+            self.recorder.stopped(now(), len(self._all_connections()))
             self.recorder.stop()
 
-    def _make_store(self, made: StoreConfig, seed: int) -> None:
-        """Loaded here only: on the platform there is none."""
+    def _make_store(self, config: StoreConfig, seed: int) -> None:
+        """Create the store; its modules are imported only here, as the platform uses none."""
         from bramblestile.store.journal import Journal, JournalError
         from bramblestile.store.replica import Replica
         from bramblestile.store.service import Store
         from bramblestile.wire.peers import PeerSender
 
-        self.peers = PeerSender(made.peers, made.name, self.counters)
+        self.peers = PeerSender(config.peers, config.name, self.counters)
         try:
-            journal = Journal(made.directory / f"{made.name}.journal")
+            journal = Journal(config.directory / f"{config.name}.journal")
         except (JournalError, OSError) as error:
             raise ConfigError(f"store.directory: {error}") from None
-        replica = Replica(made.name, list(made.peers), journal, Random(f"{seed} {made.name}"), now())
+        replica = Replica(config.name, list(config.peers), journal, Random(f"{seed} {config.name}"), now())
         self.store = Store(replica, self.peers.send, self.apply_store_entry)
 
-    def _start_store(self, made: StoreConfig, store: Store, ways: PeerSender) -> None:
+    def _start_store(self, config: StoreConfig, store: Store, sender: PeerSender) -> None:
         from bramblestile.wire import peers
 
         def serve(sock: socket.socket) -> None:
-            peers.serve(sock, store, made.peers, self.counters)
+            peers.serve(sock, store, config.peers, self.counters)
 
-        with naming_key(f"store.peers.{made.name}", made.peers[made.name]):
-            listener = Listener(made.peers[made.name], serve, self.counters, "store")
+        with naming_key(f"store.peers.{config.name}", config.peers[config.name]):
+            listener = Listener(config.peers[config.name], serve, self.counters, "store")
         self.auxiliary_listeners["store"] = listener
         listener.start()
-        ways.start()
+        sender.start()
         store.start()
 
     def apply_store_entry(self, key: str, value: str) -> None:
-        """What the peers agree on. ``hosts/NAME`` holds an agent-check's words for that upstream host."""
+        """Apply an entry that the peers have committed. ``hosts/NAME`` holds that host's answer to an agent check."""
         kind, _, name = key.partition("/")
         if kind == "hosts":
             for front in self.fronts:
                 front.on_check_result(name, agent.parse_agent_line(value))
 
     def stop_store(self) -> None:
+        """Stop the store and its listener, if there are any."""
         if self.store is not None and self.peers is not None:
             self.auxiliary_listeners["store"].stop()
             self.peers.stop()
             self.store.stop()
 
-    # What the order of work asks and does.
+    # Balancer: what the maintenance service needs.
 
     def hosts(self) -> list[str]:
+        """Return the names of the hosts that this balancer may send to."""
         return [host.id for front in self.fronts for host in front.cluster.hosts()]
 
     def connection_count(self) -> int:
-        return len(self._standing())
+        """Return the number of all established connections."""
+        return len(self._all_connections())
 
     def connections(self, hosts: Iterable[str]) -> dict[str, int]:
-        wanted, found = set(hosts), dict[str, int]()
-        for one in self._standing():
-            if one.host in wanted:
-                found[one.host] = found.get(one.host, 0) + 1
-        return found
+        """Return the number of established connections to each of these hosts, without those that have none."""
+        wanted, counts = set(hosts), dict[str, int]()
+        for connection in self._all_connections():
+            if connection.host in wanted:
+                counts[connection.host] = counts.get(connection.host, 0) + 1
+        return counts
 
     def machine_views(self) -> dict[str, MachineView]:
+        """Return all listed hosts as this balancer sees them."""
         from bramblestile.work.planner import MachineView
 
-        found = {}
+        views = {}
         for front in self.fronts:
             load_figures = front.decisions.load_figures()
             for host in front.cluster.listed_hosts():
-                load_config, masked = load_figures.get(host.id, (None, False))
+                load, masked = load_figures.get(host.id, (None, False))
                 running = host.state is State.RUNNING and not masked
-                found[host.id] = MachineView(
+                views[host.id] = MachineView(
                     host.zone,
                     host.weight,
                     front.warmth(host),
                     running,
-                    load=(load_config or 0.0) * host.weight * front.warmth(host),
-                    expected_warmth=front.warmth(host, LEFT_MEAN),
+                    load=(load or 0.0) * host.weight * front.warmth(host),
+                    expected_warmth=front.warmth(host, SUSPEND_MOVES_MEAN),
                 )
-        return found
+        return views
 
     def probe_loads(self, hosts: Iterable[str]) -> None:
+        """Request the loads of these hosts, each at most once at a time, without waiting for the answers."""
         wanted = set(hosts)
         for front in self.fronts:
             if front.config.settings.may_probe and front.config.settings.reports_load:
@@ -492,116 +550,127 @@
                         front.probes.request(host.id, even_if_queued=False)
 
     def suspended_hosts(self) -> list[str]:
+        """Return the hosts that an operator has suspended at this balancer."""
         return sorted(self.order_store.orders.suspended)
 
     def apply_constraints(self, constraints: RoutingConstraints) -> None:
-        with self._ordering:
+        """Route by these constraints from now on."""
+        with self._orders_lock:
             self._constraints = constraints
-            self._obey(self.order_store.orders)
+            self._apply_orders(self.order_store.orders)
 
     def call_maintenance(self, verb: str, text: str) -> Callable[[], tuple[int, str] | None] | None:
-        """Asked of the leader, wherever it is. What is returned is asked over and over and waits for nothing."""
+        """Begin a call of the maintenance service at its leader; None if the service is off.
+
+        The returned function doesn't block. It returns None until the HTTP status and the text are known.
+        """
         maintenance = self.maintenance
         if maintenance is None:
             return None
-        at = maintenance.leader_address()
-        if at is None:
-            asked = maintenance.submit(verb, text)
-            return lambda: asked.answer
+        address = maintenance.leader_address()
+        if address is None:
+            call = maintenance.submit(verb, text)
+            return lambda: call.answer
         answer: list[tuple[int, str]] = []
 
-        def pass_on() -> None:
+        def forward() -> None:
             path = {"show": "", "history": "/history"}.get(
                 verb, f"/{verb}/{quote(text, safe='')}" if verb in ("done", "drop", "forget") else f"/{verb}"
             )
-            answer.append(forward_call(at, "GET" if verb in ("show", "history") else "PUT", "/v1/work" + path, text))
+            answer.append(
+                forward_call(address, "GET" if verb in ("show", "history") else "PUT", "/v1/work" + path, text)
+            )
 
         try:
-            threading.Thread(target=pass_on, name="work call", daemon=True).start()
+            threading.Thread(target=forward, name="work call", daemon=True).start()
         except RuntimeError:
             return lambda: (503, "no thread is to be had")
         return lambda: answer[0] if answer else None
 
-    def _figures(self) -> dict[str, float]:
-        """What the other members are told of this one: requests a second since it was last asked."""
-        asked, at = sum(self.counters.get(f"{front.name}_accepted") for front in self.fronts), now()
-        (before, since), self._asked = self._asked, (asked, at)
-        return {"traffic": (asked - before) / max((at - since).total_seconds(), 0.001)}
+    def _metrics(self) -> dict[str, float]:
+        """Return the metrics that are published to the fleet: requests per second since the last call."""
+        accepted, at = sum(self.counters.get(f"{front.name}_accepted") for front in self.fronts), now()
+        (before, since), self._traffic_sample = self._traffic_sample, (accepted, at)
+        return {"traffic": (accepted - before) / max((at - since).total_seconds(), 0.001)}
 
     def fleet_view(self) -> str | None:
-        """The fleet as this member sees it, as JSON; None where there is none."""
+        """Return the fleet as this member sees it, as JSON; None without a fleet."""
         return None if self.gossip is None else json.dumps(self.gossip.describe())
 
     def health_report(self) -> agent.Health:
-        """What other balancers are told of this one."""
+        """Return what health checks report of this balancer."""
         share = max((front.running_share() for front in self.fronts), default=0.0)
         return agent.Health(share > 0, self.is_shutting_down or self._drained_since is not None, share)
 
     def stop(self) -> None:
-        """Takes what the front still sends, or leaves that to a ready successor, answers it, moves all that stands, and
-        returns in time."""
+        """Serve or hand over what still arrives, move all established connections, and return before SIGKILL."""
         began = now()
         self.stop_store()
         if self.maintenance is not None:
             self.maintenance.stop()
         if self.gossip is not None:
             self.gossip.stop()
-        self.is_shutting_down = True  # said at once; what still comes is taken
-        succeeded = self.handoff is not None and self.handoff.wait_for_ready(READY_WITHIN)
+        self.is_shutting_down = True  # reported at once; downstreams are still accepted
+        has_successor = self.handoff is not None and self.handoff.wait_for_ready(SUCCESSOR_READY_TIMEOUT)
         listeners = [front.listener for front in self.fronts if front.listener is not None]
         threading.Thread(
             target=self._stop_listening,
-            args=(listeners, ZERO_DURATION if succeeded else STILL_COMING),
+            args=(listeners, ZERO_DURATION if has_successor else ACCEPT_AFTER_SIGTERM),
             name="closing",
             daemon=True,
         ).start()
-        leaving = self.longest_deadline() + LEAVING_BEYOND
-        if succeeded and self.handoff is not None:
+        exit_after = self.max_deadline() + EXIT_AFTER_DEADLINE
+        if has_successor and self.handoff is not None:
             self.handoff.hand_over_all()
-        # The moved come back at once, all of them: spread as widely as the time allows, they are no storm.
-        plan = MoveSchedule(began + (MOVES_TO_SUCCESSOR if succeeded else MOVES_FROM), began + leaving - LAST_MOVES)
-        while now() < began + leaving and (
-            now() < plan.starts_at or any(listener.active_count for listener in listeners)
+        # Moved clients reconnect at once: the moves are spread over all the time there is, to avoid a burst.
+        schedule = MoveSchedule(
+            began + (STOP_MOVES_START_WITH_SUCCESSOR if has_successor else STOP_MOVES_START),
+            began + exit_after - STOP_MOVES_END_BEFORE_EXIT,
+        )
+        while now() < began + exit_after and (
+            now() < schedule.starts_at or any(listener.active_count for listener in listeners)
         ):
-            self._evacuate(plan, "stop")
-            time.sleep(TICK.total_seconds())
+            self._move_due(schedule, "stop")
+            time.sleep(MOVE_TICK.total_seconds())
 
-    def _evacuate(self, plan: MoveSchedule, reason: str, host: str | None = None) -> None:
-        """Moves those who are due by now, on this host or at all."""
+    def _move_due(self, schedule: MoveSchedule, reason: str, host: str | None = None) -> None:
+        """Move the connections that are due by now, of one host or of all (None)."""
         at = now()
-        standing = [
-            one
-            for one in self._standing()
-            if host in (None, one.host) and not (one.moved or one.paused or (one.move_requested and at < plan.ends_at))
+        remaining = [
+            connection
+            for connection in self._all_connections()
+            if host in (None, connection.host)
+            and not (connection.moved or connection.paused or (connection.move_requested and at < schedule.ends_at))
         ]
-        for one in plan.due(at, standing):
-            self._move(one, reason)
+        for connection in schedule.due(at, remaining):
+            self._move(connection, reason)
 
-    def _move(self, standing: ProxiedConnection, reason: str) -> None:
-        told = standing.moved or standing.move_requested
-        if standing.move(TICK) and not told:
-            self.tracing.current.moved(now(), standing.id, standing.host, reason)
+    def _move(self, connection: ProxiedConnection, reason: str) -> None:
+        already_moved = connection.moved or connection.move_requested
+        if connection.move(MOVE_TICK) and not already_moved:
+            self.tracing.current.moved(now(), connection.id, connection.host, reason)
 
-    def _stop_listening(self, listeners: list[Listener], after: timedelta) -> None:
-        time.sleep(after.total_seconds())
+    def _stop_listening(self, listeners: list[Listener], delay: timedelta) -> None:
+        time.sleep(delay.total_seconds())
         for listener in listeners:
             listener.stop()
 
-    def longest_deadline(self) -> timedelta:
+    def max_deadline(self) -> timedelta:
+        """Return the longest deadline of all request classes, at most ``MAX_DEADLINE``."""
         longest = max(c.deadline_us for front in self.fronts for c in front.config.settings.classes)
-        return min(timedelta(microseconds=longest), LONGEST_DEADLINE)
+        return min(timedelta(microseconds=longest), MAX_DEADLINE)
 
-    def _standing(self) -> list[ProxiedConnection]:
-        return [one for front in self.fronts for one in front.connections.all()]
+    def _all_connections(self) -> list[ProxiedConnection]:
+        return [connection for front in self.fronts for connection in front.connections.all()]
 
 
 def reload(daemon: Daemon, arguments: list[str]) -> None:
-    """SIGHUP: the same files are read again. A faulty one changes nothing."""
+    """Read the configuration files again and apply them (SIGHUP). If one is faulty, nothing changes."""
     try:
         config = load_config(arguments, os.environ)
-        lost = first_missing_key(daemon.config.file_values, config.file_values)
-        if lost is not None:
-            raise ConfigError(f"{lost}: missing, though the settings in force have it")
+        missing_key = first_missing_key(daemon.config.file_values, config.file_values)
+        if missing_key is not None:
+            raise ConfigError(f"{missing_key}: missing, though the settings in force have it")
         daemon.reconfigure(config)
     except ConfigError as error:
         daemon.counters.add("reloads_refused")
@@ -614,24 +683,25 @@
 
 
 def main(arguments: list[str]) -> int:
-    # Signals are waited for, not handled: blocked before the first thread starts, so that all inherit it, and
-    # before the first file is read: a SIGHUP that came sooner would end the program.
-    signal.pthread_sigmask(signal.SIG_BLOCK, WAITED)
+    """Run the daemon until SIGTERM or SIGINT. Returns 2 if the configuration is faulty; otherwise ends the process."""
+    # sigwait() takes the signals. They are blocked before the first thread starts, so that all threads inherit that,
+    # and before the first file is read: an earlier SIGHUP would end the process.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
         config = load_config(arguments, os.environ)
     except ConfigError as error:
         print(f"bramblestile: {error}", file=sys.stderr, flush=True)
         return 2
     log.configure(config.log.level, config.log.format)
-    threading.stack_size(STACK)
+    threading.stack_size(THREAD_STACK_BYTES)
     try:
         daemon = Daemon(config)
         daemon.start()
     except ConfigError as error:
         print(f"bramblestile: {error}", file=sys.stderr, flush=True)
         return 2
-    while (caught := signal.sigwait(WAITED)) not in (signal.SIGTERM, signal.SIGINT):
-        if caught is signal.SIGHUP:
+    while (signal_number := signal.sigwait(HANDLED_SIGNALS)) not in (signal.SIGTERM, signal.SIGINT):
+        if signal_number is signal.SIGHUP:
             reload(daemon, arguments)
         else:
             daemon.counters.log()
@@ -639,4 +709,4 @@
     daemon.stop_trace()
     daemon.counters.log()
     sys.stderr.flush()
-    os._exit(0)  # threads that still wait on a socket must not hold up the exit
+    os._exit(0)  # a thread that still waits on a socket must not delay the exit
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -255,4 +255,4 @@
     before = threading.active_count()
     for host in hosts:
         daemon.change_orders(partial(Orders.suspend, host=str(host["host"]), current_time=now()))
-    assert threading.active_count() == before and len(daemon._plans) == 50
+    assert threading.active_count() == before and len(daemon._move_schedules) == 50
