--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,4 +1,4 @@
-"""Authorities and certificates for the tests, made at run time; none is kept in the repository."""
+"""Certificate authorities and certificates for tests. They are issued at run time; the repository contains none."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 DAY = timedelta(days=1)
 
 
-def alternative(text: str) -> x509.GeneralName:
+def subject_alternative_name(text: str) -> x509.GeneralName:
+    """Return the text as a URI, an IP address or a DNS name, depending on its form. Nothing is validated."""
     if "://" in text:
         return x509.UniformResourceIdentifier(text)
     try:
@@ -29,7 +30,10 @@
 
 
 class Authority:
-    """A root, or with ``above`` an intermediate. ``files``: where what is issued lies."""
+    """A root authority, or an intermediate one if it has an issuer.
+
+    ``not_before`` and ``not_after`` are relative to now, here and in ``issue``. All files are written to ``folder``.
+    """
 
     def __init__(
         self,
@@ -71,9 +75,10 @@
             .not_valid_after(not_after)
         )
 
-    def write(self, file: str, raw: bytes) -> Path:
-        path = self.folder / file
-        path.write_bytes(raw)
+    def write(self, name: str, content: bytes) -> Path:
+        """Write a file that only its owner can read, and return its path."""
+        path = self.folder / name
+        path.write_bytes(content)
         path.chmod(0o600)
         return path
 
@@ -86,65 +91,72 @@
         for_server: bool = True,
         key: PrivateKey | None = None,
     ) -> IssuedCertificate:
-        """A certificate for these names; the first is its subject too."""
+        """Issue a certificate for these names; the first one is also its subject."""
         key = key or ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
-        use = ExtendedKeyUsageOID.SERVER_AUTH if for_server else ExtendedKeyUsageOID.CLIENT_AUTH
+        usage = ExtendedKeyUsageOID.SERVER_AUTH if for_server else ExtendedKeyUsageOID.CLIENT_AUTH
         cert = (
             self._builder(names[0], self.cert.subject, now + not_before, now + not_after, key)
-            .add_extension(x509.SubjectAlternativeName([alternative(n) for n in names]), critical=False)
-            .add_extension(x509.ExtendedKeyUsage([use]), critical=False)
+            .add_extension(x509.SubjectAlternativeName([subject_alternative_name(n) for n in names]), critical=False)
+            .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
             .sign(self.key, hashes.SHA256())
         )
         chain = [cert] + ([self.cert] if with_chain and self.issuer else [])
         return IssuedCertificate(self, cert, key, chain)
 
     def revoke(self, *issued: IssuedCertificate) -> Path:
-        """A list of these as revoked."""
+        """Write a revocation list with these certificates, and return its path."""
         now = datetime.now(UTC)
-        made = (
+        builder = (
             x509.CertificateRevocationListBuilder()
             .issuer_name(self.cert.subject)
             .last_update(now - DAY)
             .next_update(now + DAY)
         )
-        for one in issued:
-            made = made.add_revoked_certificate(
+        for certificate in issued:
+            builder = builder.add_revoked_certificate(
                 x509.RevokedCertificateBuilder()
-                .serial_number(one.cert.serial_number)
+                .serial_number(certificate.cert.serial_number)
                 .revocation_date(now - DAY)
                 .build()
             )
-        return self.write("revoked.pem", made.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
+        return self.write(
+            "revoked.pem", builder.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        )
 
 
 class IssuedCertificate:
-    def __init__(self, by: Authority, cert: x509.Certificate, key: PrivateKey, chain: list[x509.Certificate]) -> None:
+    """A certificate with its key and its chain, in memory and as files."""
+
+    def __init__(
+        self, issuer: Authority, cert: x509.Certificate, key: PrivateKey, chain: list[x509.Certificate]
+    ) -> None:
         self.cert, self.key, self.chain = cert, key, chain
         serial = f"{cert.serial_number:x}"[:12]
-        self.cert_file = by.write(f"{serial}.pem", b"".join(map(certificate_pem, chain)))
-        self.key_file = by.write(f"{serial}.key", private_key_pem(key))
+        self.cert_file = issuer.write(f"{serial}.pem", b"".join(map(certificate_pem, chain)))
+        self.key_file = issuer.write(f"{serial}.key", private_key_pem(key))
 
     def server_context(
         self, client_authority: Authority | None = None, max_version: ssl.TLSVersion | None = None
     ) -> ssl.SSLContext:
-        """A host's side; ``clients``: only those that this authority has signed."""
-        made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        made.load_cert_chain(self.cert_file, self.key_file)
+        """Return a host's TLS context. With a client authority it requires client certificates signed by that one."""
+        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+        context.load_cert_chain(self.cert_file, self.key_file)
         if client_authority is not None:
-            made.verify_mode = ssl.CERT_REQUIRED
-            made.load_verify_locations(client_authority.ca_file)
+            context.verify_mode = ssl.CERT_REQUIRED
+            context.load_verify_locations(client_authority.ca_file)
         if max_version is not None:
-            made.maximum_version = max_version
-        return made
+            context.maximum_version = max_version
+        return context
 
 
 @cache
 def shared_authority() -> Authority:
-    """One for all scenarios that only need TLS to be there."""
+    """Return the authority of all tests that need TLS but no authority of their own."""
     return Authority()
 
 
 @cache
 def server_context(host: str) -> ssl.SSLContext:
+    """Return the TLS context of a host with a certificate of the shared authority."""
     return shared_authority().issue(host).server_context()
