--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Start and stop, and the configuration's messages."""
+"""Start, stop and reload of the daemon as a process, and the errors of its configuration."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.scenario import Peer
 
 SETTINGS = {"classes": [{"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000}]}
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:8500",
     "settings": SETTINGS,
@@ -34,29 +34,29 @@
 }
 
 
-def test_the_operators_file_is_read_as_it_stands() -> None:
-    got = config.load_config([str(Path(__file__).parent.parent / "deploy" / "nats.toml")], {})
-    assert got.lines is None and got.nats is not None
-    assert [h.id for h in got.nats.known_hosts] == ["catalogue-a", "catalogue-b"]
-    assert got.nats.server_info.users["curators"].tenant == "vestland-museum"
+def test_example_file_for_nats_is_valid() -> None:
+    loaded = config.load_config([str(Path(__file__).parent.parent / "deploy" / "nats.toml")], {})
+    assert loaded.lines is None and loaded.nats is not None
+    assert [h.id for h in loaded.nats.known_hosts] == ["catalogue-a", "catalogue-b"]
+    assert loaded.nats.server_info.users["curators"].tenant == "vestland-museum"
 
 
-def test_the_operators_file_of_traces_is_laid_over_the_platforms(tmp_path: Path) -> None:
+def test_example_file_for_traces_extends_the_platforms_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(GOOD))
+    path.write_text(json.dumps(VALID))
     file = Path(__file__).parent.parent / "deploy" / "trace.toml"
-    got = config.load_config([str(file)], {"EDGE_CONFIG": str(path)})
-    assert got.trace is not None and got.trace.file_bytes == 64 << 20 and got.log.level == "info"
-    path.write_text(json.dumps({k: v for k, v in GOOD.items() if k != "trace"}))
+    loaded = config.load_config([str(file)], {"EDGE_CONFIG": str(path)})
+    assert loaded.trace is not None and loaded.trace.file_bytes == 64 << 20 and loaded.log.level == "info"
+    path.write_text(json.dumps({k: v for k, v in VALID.items() if k != "trace"}))
     assert config.load_config([], {"EDGE_CONFIG": str(path)}).trace is None
 
 
-def test_the_platforms_file_and_variables(tmp_path: Path) -> None:
+def test_environment_variables_fill_in_missing_keys(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({key: GOOD[key] for key in ("settings", "known")}))
-    got = config.load_config([], {"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81", "EDGE_NAME": "n3"})
-    assert got.nats is None and got.lines is not None
-    assert (got.lines.name, got.lines.listen, got.lines.known_hosts_version) == ("n3", ("127.0.0.9", 81), 4)
+    path.write_text(json.dumps({key: VALID[key] for key in ("settings", "known")}))
+    loaded = config.load_config([], {"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81", "EDGE_NAME": "n3"})
+    assert loaded.nats is None and loaded.lines is not None
+    assert (loaded.lines.name, loaded.lines.listen, loaded.lines.known_hosts_version) == ("n3", ("127.0.0.9", 81), 4)
 
 
 @pytest.mark.parametrize(
@@ -107,19 +107,19 @@
         ("fleet.advertise", "somewhere"),
     ],
 )
-def test_a_message_names_the_faulty_key(path: str, value: object) -> None:
-    values = copy.deepcopy(GOOD)
-    at: Any = values
+def test_error_names_the_faulty_key(path: str, value: object) -> None:
+    values = copy.deepcopy(VALID)
+    table: Any = values
     *parents, last = path.partition("[")[0].split(".")
     for name in parents:
-        at = at.setdefault(name, {})
-    at[last] = value
+        table = table.setdefault(name, {})
+    table[last] = value
     with pytest.raises(config.ConfigError, match="^" + re.escape(path)):
         config.parse_config(values)
 
 
-def test_the_program_answers_prints_its_counters_and_leaves_nobody_behind(tmp_path: Path) -> None:
-    """A planned restart: what stands is told to move, and the exit comes before SIGKILL would."""
+def test_daemon_serves_logs_its_counters_and_moves_all_clients_at_the_stop(tmp_path: Path) -> None:
+    """A planned restart: established connections are told to move, and the exit comes before SIGKILL would."""
     with socket.create_server(("127.0.0.1", 0)) as host, socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
         free.close()
@@ -135,55 +135,56 @@
             stderr=subprocess.PIPE,
             text=True,
             env=os.environ | {"EDGE_CONFIG": str(path)},
-        ) as program:
+        ) as process:
             try:
-                peer = connect(address, program)
-                peer.sock.sendall(b"PING\r\n")
-                assert peer.line() == "PONG"
-                peer.sock.sendall(b"OPEN 1 2 c=feed,d=1500\r\n")
+                client = connect(address, process)
+                client.sock.sendall(b"PING\r\n")
+                assert client.line() == "PONG"
+                client.sock.sendall(b"OPEN 1 2 c=feed,d=1500\r\n")
                 upstream = Peer(host.accept()[0])
                 assert upstream.line().startswith("OPEN 1 2 c=feed,d=")
                 upstream.sock.sendall(b"UP r\r\n")
-                assert peer.line() == "UP r"
-                assert program.stderr is not None
-                program.send_signal(signal.SIGUSR1)
-                assert json.loads(program.stderr.readline())["answered_served"] == 1
-                told = time.monotonic()
-                program.send_signal(signal.SIGTERM)
-                late = Peer(socket.create_connection(address))  # the front still sends for a moment
-                late.sock.sendall(b"OPEN 2 2 c=feed,d=1500\r\n")
-                second = Peer(host.accept()[0])
-                second.sock.sendall(b"UP s\r\n")
-                slow = Peer(socket.create_connection(address))
-                slow.sock.sendall(b"OPEN 3 2 c=feed,d=9000\r\n")  # beyond any deadline that SIGKILL waits for
-                assert [late.line(), late.line(), peer.line()] == ["UP s", "MOVE", "MOVE"]
-                assert program.wait(5) == 0
-                assert time.monotonic() - told < 1.5 + 0.7 + 0.4  # 0.4: a busy machine
-                assert json.loads(program.stderr.readlines()[-1])["moved"] == 2
+                assert client.line() == "UP r"
+                assert process.stderr is not None
+                process.send_signal(signal.SIGUSR1)
+                assert json.loads(process.stderr.readline())["answered_served"] == 1
+                signalled_at = time.monotonic()
+                process.send_signal(signal.SIGTERM)
+                # The platform's front sends requests for a moment after SIGTERM.
+                late_client = Peer(socket.create_connection(address))
+                late_client.sock.sendall(b"OPEN 2 2 c=feed,d=1500\r\n")
+                late_upstream = Peer(host.accept()[0])
+                late_upstream.sock.sendall(b"UP s\r\n")
+                slow_client = Peer(socket.create_connection(address))
+                slow_client.sock.sendall(b"OPEN 3 2 c=feed,d=9000\r\n")  # longer than any deadline that delays SIGKILL
+                assert [late_client.line(), late_client.line(), client.line()] == ["UP s", "MOVE", "MOVE"]
+                assert process.wait(5) == 0
+                assert time.monotonic() - signalled_at < 1.5 + 0.7 + 0.4  # 0.4 s: tolerance for a busy machine
+                assert json.loads(process.stderr.readlines()[-1])["moved"] == 2
             finally:
-                program.kill()
+                process.kill()
 
 
 @pytest.mark.parametrize(
     "key", ["listen", "nats.listen", "health.agent", "store.peers.p1", "management", "fleet.listen"]
 )
-def test_an_address_that_is_taken_is_named_by_its_key(key: str, tmp_path: Path) -> None:
-    """Seen: a traceback."""
-    kind = socket.SOCK_DGRAM if key == "fleet.listen" else socket.SOCK_STREAM
-    with socket.socket(socket.AF_INET, kind) as taken:
-        taken.bind(("127.0.0.1", 0))
-        if kind is socket.SOCK_STREAM:
-            taken.listen()
-        values = {key: GOOD[key] for key in ("listen", "settings", "known", "nats")}
+def test_address_in_use_is_reported_with_its_key(key: str, tmp_path: Path) -> None:
+    """An address in use ended the start with a traceback."""
+    socket_type = socket.SOCK_DGRAM if key == "fleet.listen" else socket.SOCK_STREAM
+    with socket.socket(socket.AF_INET, socket_type) as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        if socket_type is socket.SOCK_STREAM:
+            occupied.listen()
+        values = {key: VALID[key] for key in ("listen", "settings", "known", "nats")}
         values["store"] = {"name": "p1", "directory": str(tmp_path), "peers": {"p1": "127.0.0.1:0"}}
-        at: Any = values
+        table: Any = values
         *parents, last = key.split(".")
         for name in parents:
-            at = at.setdefault(name, {})
-        at[last] = "{}:{}".format(*taken.getsockname())
+            table = table.setdefault(name, {})
+        table[last] = "{}:{}".format(*occupied.getsockname())
         path = tmp_path / "config.json"
         path.write_text(json.dumps(values))
-        got = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "bramblestile"],
             capture_output=True,
             text=True,
@@ -191,29 +192,33 @@
             env=os.environ | {"EDGE_CONFIG": str(path)},
             check=False,
         )
-    assert got.returncode == 2
-    assert got.stderr.splitlines()[-1] == f"bramblestile: {key}: {at[last]}: Address already in use"
-    assert "Traceback" not in got.stderr
+    assert completed.returncode == 2
+    assert completed.stderr.splitlines()[-1] == f"bramblestile: {key}: {table[last]}: Address already in use"
+    assert "Traceback" not in completed.stderr
 
 
-def connect(address: tuple[str, int], program: subprocess.Popen[str]) -> Peer:
+def connect(address: tuple[str, int], process: subprocess.Popen[str]) -> Peer:
+    """Connect to a daemon, as soon as it listens."""
     while True:
         try:
             return Peer(socket.create_connection(address))
         except ConnectionRefusedError:
-            assert program.poll() is None
+            assert process.poll() is None
 
 
-def test_sighup_follows_the_new_discovery_and_keeps_what_stands_and_what_works(tmp_path: Path) -> None:
-    """Seen: SIGHUP ended the program. A faulty file is named by its key and changes nothing."""
+def test_sighup_switches_discovery_and_keeps_connections(tmp_path: Path) -> None:
+    """SIGHUP must not end the process, and a faulty file must change nothing.
+
+    The error names the faulty key. An established connection survives the reload, and requests follow the new list.
+    """
     host, old, new, free = (socket.create_server(("127.0.0.1", 0)) for _ in range(4))
     address = free.getsockname()
     free.close()
-    name = {sock: "{}:{}".format(*sock.getsockname()) for sock in (host, old, new)}
-    entry = {"host": "a", "dial": name[host], "health": "in_service"}
+    endpoint = {sock: "{}:{}".format(*sock.getsockname()) for sock in (host, old, new)}
+    entry = {"host": "a", "dial": endpoint[host], "health": "in_service"}
     values = {
         "listen": "{}:{}".format(*address),
-        "discovery": name[old],
+        "discovery": endpoint[old],
         "settings": SETTINGS | {"membership_mode": "on_request"},
         "known": {"seq": 4, "hosts": [entry]},
     }
@@ -224,44 +229,44 @@
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"EDGE_CONFIG": str(path)},
-    ) as program:
+    ) as process:
         try:
-            assert program.stderr is not None
-            standing = connect(address, program)
-            standing.sock.sendall(b"OPEN 1 2 c=feed,d=1500\r\n")
+            assert process.stderr is not None
+            client = connect(address, process)
+            client.sock.sendall(b"OPEN 1 2 c=feed,d=1500\r\n")
             upstream = Peer(host.accept()[0])
             upstream.line()
             upstream.sock.sendall(b"UP r\r\n")
-            assert standing.line() == "UP r"
-            watched = Peer(old.accept()[0])
-            assert watched.line().startswith("GET /v1/servers?since=4&")
+            assert client.line() == "UP r"
+            old_watch = Peer(old.accept()[0])
+            assert old_watch.line().startswith("GET /v1/servers?since=4&")
 
-            def replaced(changed: dict[str, Any], said: str) -> None:
+            def reload(changed: dict[str, Any], expected: str) -> None:
                 path.write_text(json.dumps(values | changed))
-                program.send_signal(signal.SIGHUP)
-                assert program.stderr is not None
-                while (line := json.loads(program.stderr.readline()))["event"] != "reload":
+                process.send_signal(signal.SIGHUP)
+                assert process.stderr is not None
+                while (line := json.loads(process.stderr.readline()))["event"] != "reload":
                     pass
-                assert re.match(said, line["text"]), line
+                assert re.match(expected, line["text"]), line
 
-            replaced({"discovery": "nowhere"}, "kept as it was: discovery: ")
-            replaced({"settings": {"classes": [7]}}, r"kept as it was: settings\.")
-            replaced({"discovery": name[new]}, "done")
-            followed = Peer(new.accept()[0])
-            assert followed.line() == "GET /v1/servers HTTP/1.1"  # the old one's versions mean nothing here
-            while watched.receive():
-                pass  # what was still to be read of the call that waited, then its end
-            gone = json.dumps({"seq": 1, "whole": True, "hosts": []})
-            followed.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(gone)}\r\n\r\n{gone}".encode())
-            while not followed.line().startswith("GET /v1/servers?since=1&"):
+            reload({"discovery": "nowhere"}, "kept as it was: discovery: ")
+            reload({"settings": {"classes": [7]}}, r"kept as it was: settings\.")
+            reload({"discovery": endpoint[new]}, "done")
+            new_watch = Peer(new.accept()[0])
+            assert new_watch.line() == "GET /v1/servers HTTP/1.1"  # without the version of the old discovery
+            while old_watch.receive():
+                pass  # the rest of the waiting request, then the end of the connection
+            empty_list = json.dumps({"seq": 1, "whole": True, "hosts": []})
+            new_watch.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(empty_list)}\r\n\r\n{empty_list}".encode())
+            while not new_watch.line().startswith("GET /v1/servers?since=1&"):
                 pass
-            late = connect(address, program)
-            late.sock.sendall(b"OPEN 2 2 c=feed,d=1500\r\n")
-            assert late.line().startswith("BUSY")
-            standing.sock.sendall(b"still here\r\n")
+            late_client = connect(address, process)
+            late_client.sock.sendall(b"OPEN 2 2 c=feed,d=1500\r\n")
+            assert late_client.line().startswith("BUSY")
+            client.sock.sendall(b"still here\r\n")
             assert upstream.line() == "still here"
-            assert program.poll() is None
+            assert process.poll() is None
         finally:
-            program.kill()
+            process.kill()
             for sock in (host, old, new):
                 sock.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change: all of a file or nothing of it."""
+"""Reload of the configuration: a file is applied as a whole, or not at all."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from bramblestile.process.config import load_config
 from bramblestile.process.daemon import Daemon
 
-ONE = {"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "safe"}
-FILE: dict[str, Any] = {
+FEED_CLASS = {"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000, "effect": "safe"}
+VALID: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "seed": "1f",
@@ -24,7 +24,7 @@
     "known": {"seq": 1, "whole": True, "hosts": [{"host": "a", "dial": "127.0.0.1:1", "health": "in_service"}]},
     "settings": {
         "balancers": 2,
-        "classes": [ONE, {**ONE, "name": "edit"}],
+        "classes": [FEED_CLASS, {**FEED_CLASS, "name": "edit"}],
         "limits": {"try_limit": 6, "probes": True},
         "rules": {"cold_from": 0.13, "cold_us": 21_000_000},
         "report": {"how": "probe", "names": ["x0"]},
@@ -32,61 +32,64 @@
 }
 
 
-class Reloaded:
+class ReloadHarness:
+    """A daemon that is not started, and its configuration file."""
+
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.path = folder / "config.json"
-        self.path.write_text(json.dumps(FILE))
+        self.path.write_text(json.dumps(VALID))
         monkeypatch.setenv("EDGE_CONFIG", str(self.path))
-        self.daemon = Daemon(
-            load_config([], os.environ)
-        )  # not started: what it would do by its settings is all in them
+        self.daemon = Daemon(load_config([], os.environ))  # not started: its settings suffice
 
-    def take(self, raw: bytes) -> bool:
+    def reload_with(self, raw: bytes) -> bool:
+        """Write the file and reload it; return whether it was applied."""
         self.path.write_bytes(raw)
         before = self.daemon.counters.get("reloads")
         daemon.reload(self.daemon, [])
         return self.daemon.counters.get("reloads") > before
 
     def settings(self) -> Any:
+        """Return all that a reload may change."""
         front = self.daemon.lines
         assert front is not None
         return front.config, front.decisions._balancer.settings, front.pending_downstreams.limit, self.daemon.config
 
 
 @pytest.fixture
-def reloaded(memory_path: Path, monkeypatch: pytest.MonkeyPatch) -> Reloaded:
-    return Reloaded(memory_path, monkeypatch)
+def harness(memory_path: Path, monkeypatch: pytest.MonkeyPatch) -> ReloadHarness:
+    return ReloadHarness(memory_path, monkeypatch)
 
 
-def test_two_thousand_files_cut_anywhere_leave_the_old_settings_whole(reloaded: Reloaded) -> None:
-    random, before = Random(7), reloaded.settings()
-    for turn in range(2000):
-        changed = copy.deepcopy(FILE)
-        changed["settings"]["limits"]["try_limit"] = turn % 5 + 1
+def test_truncated_files_leave_the_settings_unchanged(harness: ReloadHarness) -> None:
+    random, before = Random(7), harness.settings()
+    for index in range(2000):
+        changed = copy.deepcopy(VALID)
+        changed["settings"]["limits"]["try_limit"] = index % 5 + 1
         raw = json.dumps(changed).encode()
-        assert not reloaded.take(raw[: random.randrange(len(raw))])
-    assert reloaded.settings() == before and reloaded.daemon.counters.get("reloads_refused") == 2000
+        assert not harness.reload_with(raw[: random.randrange(len(raw))])
+    assert harness.settings() == before and harness.daemon.counters.get("reloads_refused") == 2000
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the paths of a value and of all keys and items below it."""
     below = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [at, *(p for key, one in below for p in paths(one, (*at, key)))]
+    return [prefix, *(path for key, item in below for path in key_paths(item, (*prefix, key)))]
 
 
-def test_a_file_that_lacks_any_key_is_refused_by_its_name(reloaded: Reloaded) -> None:
-    """Guards against defaults: without try_limit a request would have had one attempt."""
-    before, lacking = reloaded.settings(), 0
-    for path in paths(FILE["settings"], ("settings",)) + [(key,) for key in FILE]:
+def test_file_that_lacks_a_key_is_refused(harness: ReloadHarness) -> None:
+    """A missing key must not fall back to its default: without try_limit, requests would get a single attempt."""
+    before, refused = harness.settings(), 0
+    for path in key_paths(VALID["settings"], ("settings",)) + [(key,) for key in VALID]:
         if isinstance(path[-1], int):
             continue
-        changed: Any = copy.deepcopy(FILE)
-        at = changed
+        changed: Any = copy.deepcopy(VALID)
+        table = changed
         for key in path[:-1]:
-            at = at[key]
-        del at[path[-1]]
-        assert not reloaded.take(json.dumps(changed).encode()), path
-        lacking += 1
-    assert lacking > 20 and reloaded.settings() == before
+            table = table[key]
+        del table[path[-1]]
+        assert not harness.reload_with(json.dumps(changed).encode()), path
+        refused += 1
+    assert refused > 20 and harness.settings() == before
 
 
 @pytest.mark.parametrize(
@@ -95,7 +98,7 @@
         ("settings.classes.0.deadline_us", (0, -1, 1.5, "1", None, True, 1e400)),
         ("settings.classes.0.objective_us", (0, -5, None, [])),
         ("settings.limits.try_limit", (0, -1, 2.5, "6", None, False)),
-        ("settings.classes", ([], None, {}, [1], [ONE, ONE])),
+        ("settings.classes", ([], None, {}, [1], [FEED_CLASS, FEED_CLASS])),
         ("settings.classes.0.name", ("", None, 7)),
         ("settings", (None, [], 3)),
         ("settings.balancers", (0, "2")),
@@ -104,30 +107,30 @@
         ("known.hosts", ([{}],)),
     ],
 )
-def test_a_value_that_makes_no_sense_leaves_the_old_settings_whole(
-    reloaded: Reloaded, path: str, values: tuple[Any, ...]
+def test_invalid_value_leaves_the_settings_unchanged(
+    harness: ReloadHarness, path: str, values: tuple[Any, ...]
 ) -> None:
-    before = reloaded.settings()
+    before = harness.settings()
     for value in values:
-        changed: Any = copy.deepcopy(FILE)
-        at = changed
+        changed: Any = copy.deepcopy(VALID)
+        table = changed
         *parents, last = [int(p) if p.isdigit() else p for p in path.split(".")]
         for key in parents:
-            at = at[key]
-        at[last] = value
-        assert not reloaded.take(json.dumps(changed).encode()), value
+            table = table[key]
+        table[last] = value
+        assert not harness.reload_with(json.dumps(changed).encode()), value
     for raw in (b"", b"null", b"[]", b"{}", b"\xff\xfe", b"[" * 100_000):
-        assert not reloaded.take(raw)
-    assert reloaded.settings() == before
+        assert not harness.reload_with(raw)
+    assert harness.settings() == before
 
 
-def test_classes_appear_and_vanish_and_attempts_may_be_fewer(reloaded: Reloaded) -> None:
-    changed = copy.deepcopy(FILE)
-    changed["settings"]["classes"] = [{**ONE, "name": "zoom", "effect": "unsafe"}]
+def test_reload_changes_classes_and_lowers_the_try_limit(harness: ReloadHarness) -> None:
+    changed = copy.deepcopy(VALID)
+    changed["settings"]["classes"] = [{**FEED_CLASS, "name": "zoom", "effect": "unsafe"}]
     changed["settings"]["limits"]["try_limit"] = 2
-    assert reloaded.take(json.dumps(changed).encode())
-    front = reloaded.daemon.lines
+    assert harness.reload_with(json.dumps(changed).encode())
+    front = harness.daemon.lines
     assert front is not None
-    held = front.decisions._balancer
-    assert (list(held.classes), held.settings.try_limit) == (["zoom"], 2)
-    assert reloaded.take(json.dumps(FILE).encode()) and list(held.classes) == ["feed", "edit"]
+    balancer = front.decisions._balancer
+    assert (list(balancer.classes), balancer.settings.try_limit) == (["zoom"], 2)
+    assert harness.reload_with(json.dumps(VALID).encode()) and list(balancer.classes) == ["feed", "edit"]
