--- a/bramblestile/process/config.py
+++ b/bramblestile/process/config.py
@@ -33,7 +33,7 @@
 # connections take two thirds, and at most one for each MB of memory, as a thread costs about 30 KB.
 MIN_PENDING_DOWNSTREAMS, MAX_PENDING_DOWNSTREAMS = 16, 256
 DESCRIPTORS_PER_PENDING_DOWNSTREAM = 8
-MAX_DESCRIPTORS = 1 << 20  # assumed where the process has no limit
+MAX_DESCRIPTORS = 1 << 20  # of a process; assumed where it has no limit
 BYTES_PER_MB = 1 << 20
 
 
@@ -186,7 +186,7 @@
         listen: UDP address that is bound.
         advertised: Address at which the other members reach this one.
         seeds: Addresses of members that are asked to join.
-        keys: Keys of the datagrams, of which the first one seals; none is allowed on loopback only.
+        keys: Keys of the datagrams, of which the first one seals; may be empty on loopback addresses only.
         hall: Hall of this member.
         probe_interval: Time between two probes.
         min_suspicion: Shortest time from a suspicion to the death of a member.
@@ -348,7 +348,7 @@
     except ValueError as error:
         raise ConfigError(f"{known.key('hosts')}: {error}") from None
     settings_owner = table if table.has("settings") else top
-    limits, spans = settings_owner.section("settings").section("limits"), top.section("spans")
+    limits, durations = settings_owner.section("settings").section("limits"), top.section("spans")
     return FrontConfig(
         name=top.text("name", "bramblestile"),
         listen=table.address("listen"),
@@ -358,9 +358,9 @@
         known_hosts=hosts,
         settings=_settings(settings_owner),
         connect_timeout=limits.duration_us("connect_timeout_us", DEFAULT_CONNECT_TIMEOUT),
-        probe_timeout=spans.duration_us("probe_us", DEFAULT_PROBE_TIMEOUT),
+        probe_timeout=durations.duration_us("probe_us", DEFAULT_PROBE_TIMEOUT),
         checks=_checks(table.section("checks"), {h.id for h in hosts}),
-        check_interval=spans.duration_us("check_us", DEFAULT_CHECK_INTERVAL, 10_000),
+        check_interval=durations.duration_us("check_us", DEFAULT_CHECK_INTERVAL, 10_000),
         pending_downstreams=_max_pending_downstreams(top.section("limits")),
         tls=_tls(table.section("tls"), hosts) if table.has("tls") else None,
     )
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -33,13 +33,13 @@
 
 
 class ReloadHarness:
-    """A daemon that is not started, and its configuration file."""
+    """A daemon and its configuration file. It is not started, because the tests look at its settings only."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.path = folder / "config.json"
         self.path.write_text(json.dumps(VALID))
         monkeypatch.setenv("EDGE_CONFIG", str(self.path))
-        self.daemon = Daemon(load_config([], os.environ))  # not started: its settings suffice
+        self.daemon = Daemon(load_config([], os.environ))
 
     def reload_with(self, raw: bytes) -> bool:
         """Write the file and reload it; return whether it was applied."""
