--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from bramblestile.operations import server
-from tests.upgrade import Balancer, Client, serving
+from tests.upgrade import Client, UpgradableBalancer, upgradable_balancer
 
 ESTABLISHED_CLIENTS = 50
 UPGRADES = 5
@@ -24,7 +24,7 @@
 FIRST_NUMBER_STEP = 10**7  # between the request numbers of two threads
 
 
-def measure_response_times(balancer: Balancer, duration_s: float) -> str:
+def measure_response_times(balancer: UpgradableBalancer, duration_s: float) -> str:
     """Call ``readyz`` repeatedly; return the number of calls and the percentiles in milliseconds."""
     times_ms: list[float] = []
     deadline = time.monotonic() + duration_s
@@ -45,7 +45,7 @@
     neither served nor refused.
     """
 
-    def __init__(self, balancer: Balancer, thread_count: int) -> None:
+    def __init__(self, balancer: UpgradableBalancer, thread_count: int) -> None:
         self.balancer, self.stopped = balancer, threading.Event()
         self.attempts, self.refused, self.failed = 0, 0, 0
         self.threads = [
@@ -60,9 +60,9 @@
             self.attempts += 1
             try:
                 client = Client(self.balancer, number)
-                if client.up and client.echoes():
+                if client.is_established and client.echoes():
                     pass
-                elif client.said.startswith(b"BUSY"):
+                elif client.first_response.startswith(b"BUSY"):
                     self.refused += 1
                 else:
                     self.failed += 1
@@ -80,10 +80,10 @@
 def main() -> None:
     """Run all measurements and print their results."""
     duration_s = float(sys.argv[1]) if len(sys.argv) > 1 else 5.0
-    with tempfile.TemporaryDirectory() as folder, serving(Path(folder), "h0", "h1", "h2") as (balancer, _):
+    with tempfile.TemporaryDirectory() as folder, upgradable_balancer(Path(folder), "h0", "h1", "h2") as (balancer, _):
         balancer.start()
         print("idle:", measure_response_times(balancer, duration_s))
-        slow_callers = [socket.create_connection(balancer.managed[-1]) for _ in range(server.MAX_CALLERS)]
+        slow_callers = [socket.create_connection(balancer.management_addresses[-1]) for _ in range(server.MAX_CALLERS)]
         for sock in slow_callers:
             with contextlib.suppress(OSError):
                 sock.sendall(b"PUT /v1/bal")
@@ -94,15 +94,15 @@
         load = ClientLoad(balancer, LOAD_THREADS)
         print("and under client load:", measure_response_times(balancer, duration_s))
         established = [Client(balancer, n) for n in range(1, ESTABLISHED_CLIENTS + 1)]
-        up, durations_s, moved = sum(client.up for client in established), [], 0
+        up, durations_s, moved = sum(client.is_established for client in established), [], 0
         attempts, refused, failed = load.attempts, load.refused, load.failed
         for _ in range(UPGRADES):
             began = time.monotonic()
-            log_lines = balancer.replace()
+            log_lines = balancer.upgrade()
             durations_s.append(time.monotonic() - began)
             moved += sum(int(n) for n in re.findall(r'"moved":(\d+)', log_lines[-1]))
         load.stop()
-        remaining = sum(client.up and client.echoes() for client in established)
+        remaining = sum(client.is_established and client.echoes() for client in established)
         print(
             f"{UPGRADES} upgrades of {min(durations_s):.2f} to {max(durations_s):.2f} s: "
             f"{load.attempts - attempts} requests, {load.refused - refused} refused, "
--- a/tests/upgrade.py
+++ b/tests/upgrade.py
@@ -1,4 +1,4 @@
-"""A balancer whose process is replaced while it serves: real processes on one inherited socket."""
+"""A balancer whose process is replaced while it serves: real processes that inherit one listening socket."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 from typing import Any
 
 SETTINGS = {"classes": [{"name": "feed", "objective_us": 600_000, "deadline_us": 1_500_000}]}
-BOUND = 10.0
+TIMEOUT_S = 10.0
 
 
-class Host:
-    """Takes every connection, says UP and echoes its lines. ``asked`` holds the first lines."""
+class EchoHost:
+    """An image server that accepts every request and echoes its lines.
+
+    ``first_lines`` holds the first line of each connection, ``ended_count`` the number of those that ended.
+    """
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
-        self.asked: list[str] = []
-        self.ended = 0
+        self.first_lines: list[str] = []
+        self.ended_count = 0
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
@@ -36,25 +39,25 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError), sock, sock.makefile("rb") as lines:
-            self.asked.append(lines.readline().decode())
+            self.first_lines.append(lines.readline().decode())
             sock.sendall(b"UP r\r\n")
             for line in lines:
                 sock.sendall(line)
             sock.sendall(b"BYE\r\n")
-        self.ended += 1
+        self.ended_count += 1
 
 
-class Balancer:
-    """One balancer and whatever processes it has; the clients' socket is held here."""
+class UpgradableBalancer:
+    """One balancer and its processes, which inherit the listening socket that is held here."""
 
-    def __init__(self, folder: Path, hosts: dict[str, Host], **values: Any) -> None:
-        self.clients = socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.folder, self.config = folder, folder / "config.json"
+    def __init__(self, folder: Path, hosts: dict[str, EchoHost], **values: Any) -> None:
+        self.client_socket = socket.create_server(("127.0.0.1", 0), backlog=256)
+        self.folder, self.config_path = folder, folder / "config.json"
         (folder / "tmp").mkdir()
         self.values: dict[str, Any] = {
             "name": "n1",
             "settings": SETTINGS,
-            "listen": "{}:{}".format(*self.clients.getsockname()),
+            "listen": "{}:{}".format(*self.client_socket.getsockname()),
             "known": {
                 "seq": 1,
                 "hosts": [
@@ -64,62 +67,69 @@
             },
         } | values
         self.processes: list[subprocess.Popen[str]] = []
-        self.managed: list[tuple[str, int]] = []
+        self.management_addresses: list[tuple[str, int]] = []
 
     def start(self) -> subprocess.Popen[str]:
-        """One more process beside those that run; returns when it is ready."""
+        """Start another process beside the running ones, wait until it is ready and return it."""
         with socket.create_server(("127.0.0.1", 0)) as free:
-            self.managed.append(free.getsockname())
-        self.config.write_text(json.dumps(self.values | {"management": "{}:{}".format(*self.managed[-1])}))
-        number = self.clients.fileno()
+            self.management_addresses.append(free.getsockname())
+        self.config_path.write_text(
+            json.dumps(self.values | {"management": "{}:{}".format(*self.management_addresses[-1])})
+        )
+        descriptor = self.client_socket.fileno()
         process = subprocess.Popen(
             [sys.executable, "-m", "bramblestile"],
-            pass_fds=[number],
+            pass_fds=[descriptor],
             stderr=subprocess.PIPE,
             text=True,
             env=os.environ
-            | {"EDGE_CONFIG": str(self.config), "EDGE_SOCKET_FD": str(number), "TMPDIR": str(self.folder / "tmp")},
+            | {
+                "EDGE_CONFIG": str(self.config_path),
+                "EDGE_SOCKET_FD": str(descriptor),
+                "TMPDIR": str(self.folder / "tmp"),
+            },
         )
         self.processes.append(process)
-        until = time.monotonic() + BOUND
+        deadline = time.monotonic() + TIMEOUT_S
         while self.call("GET /v1/readyz") != 200:
-            assert time.monotonic() < until and process.poll() is None, "not ready"
+            assert time.monotonic() < deadline and process.poll() is None, "not ready"
             time.sleep(0.02)
         return process
 
-    def call(self, words: str, process: int = -1) -> int:
-        """The status of an operator's call; 0 where nobody answers."""
+    def call(self, request_line: str, process: int = -1) -> int:
+        """Make a management call such as ``GET /v1/readyz``; return its status, or 0 if nothing answers."""
         try:
-            with socket.create_connection(self.managed[process], timeout=5) as sock:
-                sock.sendall(f"{words} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+            with socket.create_connection(self.management_addresses[process], timeout=5) as sock:
+                sock.sendall(f"{request_line} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
                 return int(sock.makefile().readline().split()[1])
         except (OSError, IndexError):
             return 0
 
-    def replace(self) -> list[str]:
-        """An upgrade: the next process, ready, then the end of the one before. Returns that one's last log lines."""
+    def upgrade(self) -> list[str]:
+        """Start the next process, stop the previous one and return what that logged until its end."""
         old = self.processes[-1]
         self.start()
         old.send_signal(signal.SIGTERM)
         assert old.stderr is not None
-        said = old.stderr.readlines()
-        assert old.wait(BOUND) == 0
-        return said
+        log_lines = old.stderr.readlines()
+        assert old.wait(TIMEOUT_S) == 0
+        return log_lines
 
     def stop(self) -> None:
+        """Kill all processes and close the listening socket."""
         for process in self.processes:
             process.kill()
             process.wait()
             assert process.stderr is not None
             process.stderr.close()
-        self.clients.close()
+        self.client_socket.close()
 
 
 @contextlib.contextmanager
-def serving(folder: Path, *names: str) -> Iterator[tuple[Balancer, dict[str, Host]]]:
-    """One balancer and its hosts, which end with the block. No process runs yet."""
-    hosts = {name: Host() for name in names}
-    balancer = Balancer(folder, hosts)
+def upgradable_balancer(folder: Path, *names: str) -> Iterator[tuple[UpgradableBalancer, dict[str, EchoHost]]]:
+    """Yield a balancer without a process, and its hosts by name; all are stopped at the end of the block."""
+    hosts = {name: EchoHost() for name in names}
+    balancer = UpgradableBalancer(folder, hosts)
     try:
         yield balancer, hosts
     finally:
@@ -129,19 +139,21 @@
 
 
 class Client:
-    """One connection: up, and a line that came back."""
+    """One client connection; the constructor sends the request and reads its response."""
 
-    def __init__(self, balancer: Balancer, number: int) -> None:
-        self.sock = socket.create_connection(balancer.clients.getsockname(), timeout=5)
-        self.read = self.sock.makefile("rb")
+    def __init__(self, balancer: UpgradableBalancer, number: int) -> None:
+        self.sock = socket.create_connection(balancer.client_socket.getsockname(), timeout=5)
+        self.reader = self.sock.makefile("rb")
         self.sock.sendall(f"OPEN {number} 2 c=feed,d=1500\r\n".encode())
-        self.said = self.read.readline()
-        self.up = self.said == b"UP r\r\n"
+        self.first_response = self.reader.readline()
+        self.is_established = self.first_response == b"UP r\r\n"
 
     def echoes(self) -> bool:
+        """Return whether a line that is sent comes back."""
         self.sock.sendall(b"still here\r\n")
-        return self.read.readline() == b"still here\r\n"
+        return self.reader.readline() == b"still here\r\n"
 
     def close(self) -> None:
-        self.read.close()
+        """Close the connection."""
+        self.reader.close()
         self.sock.close()
