--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -69,7 +69,7 @@
             assert action.id not in self.finished and action.id not in self.open_connections
             assert not self.attempts[action.id] or self.attempts[action.id][-1].status is not None
             if isinstance(action, api.Refuse):
-                may_have_run = [a for a in self.attempts[action.id] if a.status and a.status.may_have_run]
+                may_have_run = [a for a in self.attempts[action.id] if a.status and a.status.request_may_have_run]
                 request_class = self.class_of(action.id)
                 assert (
                     not may_have_run
@@ -91,7 +91,7 @@
         assert target.state is api.State.RUNNING  # rule 3, without any grace period
         assert self.now_us < action.until_us <= self.deadlines_us[action.id]
         for earlier in attempts:
-            if earlier.status and earlier.status.may_have_run and request_class.effect is not api.Effect.SAFE:
+            if earlier.status and earlier.status.request_may_have_run and request_class.effect is not api.Effect.SAFE:
                 assert request_class.effect is api.Effect.KEYED
                 assert self.now_us - earlier.sent_us < request_class.memory_span_us
                 first = self.listed[earlier.backend]
--- a/vanegw/adapter.py
+++ b/vanegw/adapter.py
@@ -43,6 +43,7 @@
             self.write('["END"]\n')
             return True
         elif name == "TABLE":
+            # "sheet" is the number of the table, "rows_in" its rows, each of which describes a backend.
             self.tables[fields["sheet"]] = wire.parse_backends(fields["rows_in"])
         elif name == "BEGIN":
             self._begin_instance(fields)
@@ -88,17 +89,17 @@
 def run(lines: Iterable[str], write: Callable[[str], None], flush: Callable[[], None]) -> None:
     """Process a whole stream, and flush after each batch. Raises WireError with the number of the line at fault."""
     session = AdapterSession(write)
-    number = 0
-    for number, line in enumerate(lines, 1):
+    line_number = 0
+    for line_number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
             if session.process_line(line):
                 flush()
         except (wire.WireError, ValueError) as error:
-            raise wire.WireError(f"line {number}: {error}") from None
+            raise wire.WireError(f"line {line_number}: {error}") from None
     if session.now_us is not None:
-        raise wire.WireError(f"line {number}: the input ends inside a batch: GO is missing")
+        raise wire.WireError(f"line {line_number}: the input ends inside a batch: GO is missing")
 
 
 def main() -> int:
--- a/vanegw/handover.py
+++ b/vanegw/handover.py
@@ -53,17 +53,18 @@
         }
         for start in range(0, len(backends), BACKENDS_PER_PART)
     ]
-    # Attempts at cold backends and arrivals: the next process adds its own.
-    own = {key: getattr(balancer, attribute) for attribute, key in BALANCER_KEYS.items()} | {
+    # Attempts at cold backends (key "warmed") and arrivals: the next process adds its own.
+    balancer_values = {key: getattr(balancer, attribute) for attribute, key in BALANCER_KEYS.items()} | {
         "warmed": balancer.cold_attempts_us[-MAX_RECENT_TIMES:],
         "arrivals": list(balancer.recent_arrivals.items())[-MAX_RECENT_TIMES:],
     }
-    return [*parts, {"own": own}]
+    return [*parts, {"own": balancer_values}]
 
 
 def import_state(balancer: Balancer, part: dict[str, Any]) -> None:
     """Take over one part of another process's ``export_state``.
 
+    A part holds either figures of backends or the values of the balancer as a whole, with its recent arrivals.
     Backends that are not listed here, or have restarted since, are skipped. Raises ValueError, TypeError, KeyError or
     AttributeError for a malformed part; the backend at fault, and all that follows it in the part, are not taken over.
     """
@@ -85,16 +86,18 @@
         )
         for attribute, value in figures.items():
             setattr(backend, attribute, value)
-    if "own" in part:
+    if "own" in part:  # values of the exporting balancer as a whole
         received = part["own"]
-        own = {
+        # Once this balancer has had load reports of its own, its averages are newer than the received ones.
+        balancer_values = {
             attribute: _checked(getattr(balancer, attribute), received[key], key)
             for attribute, key in BALANCER_KEYS.items()
             if key in received and not balancer.report_count
         }
+        # The key "warmed" holds the times of attempts at backends that were still cold, that is, warming up.
         cold_attempts_us = _checked(balancer.cold_attempts_us, received["warmed"], "warmed")
         arrivals = {client: _checked(0, time_us, "arrivals") for client, time_us in received["arrivals"]}
-        for attribute, value in own.items():
+        for attribute, value in balancer_values.items():
             setattr(balancer, attribute, value)
         balancer.cold_attempts_us = sorted({*cold_attempts_us, *balancer.cold_attempts_us})
         balancer.recent_arrivals = LastSeenTimes(
--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -50,7 +50,7 @@
     NOT_SENT = ("not_sent", False)
 
     @property
-    def may_have_run(self) -> bool:
+    def request_may_have_run(self) -> bool:
         """Whether the backend may have acted on the request."""
         return self.value[1]
 
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -202,8 +202,10 @@
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.min_objective_us = min(c.objective_us for c in settings.classes)
+        # A reported load is trusted fully for the longest time that a client may wait, and less and less after that.
         self.load_lifetime_us = max(c.deadline_us for c in settings.classes)
-        self.message_aim_s = min(c.message_aim_us for c in settings.classes) / 1e6
+        # The shortest target for the time that a message takes at a backend; 0: a class has no target.
+        self.min_message_aim_s = min(c.message_aim_us for c in settings.classes) / 1e6
         self.quotas = {t.name: t.quota_connections for t in settings.tenants if t.quota_connections > 0}
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
@@ -381,15 +383,16 @@
         return weight * self._zone_factor(backend) * self._relative_size(backend) * self._warmth(backend)
 
     def _concurrent_load(self) -> float:
-        """Estimate the load that the other balancers add, spread over all backends, while a report is in use.
+        """Estimate the load, as a share of all backends' capacity, that the other balancers have added recently.
 
-        In a rush of arrivals all balancers see the same idle backend in the same reports and would fill it together.
-        Each recent arrival here stands for one at each other balancer. A client that returns though no connection of
-        ours has ended comes from a balancer that takes none now, and does not stand for another arrival there.
+        In a rush of arrivals all balancers see the same idle backend in the same load reports and would fill it
+        together. So each recent arrival at this balancer is assumed to come with one at each other balancer. The
+        exception is a client that reconnects although no connection of this balancer has ended: its connection was at
+        another balancer that accepts no requests now, so no arrival is assumed there.
         """
         foreign_returns = max(0, len(self.recent_returns) - len(self.recent_ends))
         arrivals_elsewhere = len(self.recent_arrivals) * (self.settings.balancers - 1) - foreign_returns
-        return arrivals_elsewhere / self._connection_capacity(None)
+        return arrivals_elsewhere / self._connection_capacity(backend=None)  # None: all backends together
 
     def _relative_size(self, backend: BackendState) -> float:
         """The listed weight; a faulty one (zero, negative, NaN, huge) counts as 1, as it would distort all shares."""
@@ -469,19 +472,19 @@
         return is_trusted and name not in tracked.attempted and self._is_eligible(name, tracked)
 
     def _has_capacity(self, backend: BackendState) -> bool:
-        misses_aim = self._recent_message_delay_s(backend) >= (self.message_aim_s or math.inf)
+        misses_aim = self._recent_message_delay_s(backend) >= (self.min_message_aim_s or math.inf)
         # On average half of the concurrent placements came since the report.
         load = self._estimated_load(backend) + self._concurrent_load() / 2
         return load < self.full_load and not misses_aim
 
     def _may_repeat_on(self, backend: BackendState, tracked: TrackedRequest) -> bool:
         """Apply rule 2: a keyed request that may have run goes only where, and while, its repeat is recognised."""
-        if tracked.first_run_on is None or tracked.request_class.effect is api.Effect.SAFE:
+        if tracked.first_run_backend is None or tracked.request_class.effect is api.Effect.SAFE:
             return True
         elapsed_us = self.now_us - tracked.started_at_us
         if tracked.request_class.effect is api.Effect.UNSAFE or elapsed_us >= tracked.request_class.memory_span_us:
             return False
-        first = tracked.first_run_on
+        first = tracked.first_run_backend
         candidate = backend.info
         in_scope = {
             Scope.ALL: True,
@@ -642,8 +645,8 @@
         if tracked is None or event.attempt != len(tracked.attempted) - 1:
             return
         tracked.attempt_pending = False
-        # A busy backend sheds its newest connections. Old connections that are cut, as when a zone dies, and errors are
-        # no congestion of the fleet.
+        # A backend that is too busy cuts its newest connections, so such a cut shows congestion, as a time-out does. An
+        # error does not, nor the cut of an older connection, which may be the failure of a whole zone.
         was_shed = event.status is Status.CUT and self.now_us - tracked.started_at_us < SHED_CONNECTION_AGE_US
         self._update_timeout_rate(was_shed or event.status is Status.TIMED_OUT)
         if not tracked.is_open and backend is not None:
@@ -653,13 +656,14 @@
         if event.finished or tracked.is_open:
             self._forget(event.id)
             return
-        if event.status.may_have_run and tracked.first_run_on is None:
-            tracked.first_run_on = backend.info if backend else api.Backend(event.backend)
+        # Backends drop repeats of a keyed request for a limited time, which counts from when it may first have run.
+        if event.status.request_may_have_run and tracked.first_run_backend is None:
+            tracked.first_run_backend = backend.info if backend else api.Backend(event.backend)
             tracked.started_at_us = self.now_us - event.took_us
         self._retry(tracked)
 
-    def _update_timeout_rate(self, timed_out: bool) -> None:
-        self.timeout_rate += (timed_out - self.timeout_rate) / TIMEOUT_RATE_WINDOW_ATTEMPTS
+    def _update_timeout_rate(self, timed_out_or_shed: bool) -> None:
+        self.timeout_rate += (timed_out_or_shed - self.timeout_rate) / TIMEOUT_RATE_WINDOW_ATTEMPTS
 
     def _mask(self, backend: BackendState, status: Status) -> None:
         """Mask a backend that failed an attempt or a probe, for longer with each consecutive failure.
@@ -692,7 +696,7 @@
         """Send the one final answer (rule 1): a refusal where another try by the client is harmless, else a failure."""
         request_class = tracked.request_class
         is_harmless = (
-            tracked.first_run_on is None
+            tracked.first_run_backend is None
             or request_class.effect is api.Effect.SAFE
             or (request_class.effect is api.Effect.KEYED and request_class.dedup_scope is Scope.ALL)
         )
@@ -759,7 +763,7 @@
                 excessive_load = value * REPORTED_OVERLOAD_FACTOR if is_share and value > OVERLOAD else 0.0
                 if report.latency_ms is not None and _is_plausible(report.latency_ms):
                     # A backlog outlives the load that caused it, and until it is gone nothing is earned there.
-                    delay_load = self._load_from_delay(backend, report.latency_ms / 1000, self.message_aim_s)
+                    delay_load = self._load_from_delay(backend, report.latency_ms / 1000, self.min_message_aim_s)
                     excessive_load = max(excessive_load, delay_load)
                 if excessive_load and self.now_us - backend.last_shed_at_us >= SHED_INTERVAL_US:
                     self._shed_connections(backend, excessive_load)
--- a/vanegw/wire.py
+++ b/vanegw/wire.py
@@ -105,6 +105,8 @@
     return (parser, False)
 
 
+# Wire names that differ from the fields of Request: req: id, profile: cls, billing: tenant, entity: key, room: group,
+# predicted_us: load_hint. The bits of attrs are the flags above.
 _REQUEST_FIELDS = {
     "i": required(parse_integer),
     "req": required(parse_text),
@@ -117,7 +119,9 @@
     "attrs": optional(parse_integer),
 }
 
-# The fields of each received message, in their order on the wire.
+# The fields of each received message, in their order on the wire. Their names in all messages: i: number of the
+# instance, req: id of the request, copy: index of the attempt, usage: load report, prng: random seed, setup: settings,
+# sheet: number of a backend table, rows_in: its rows, rev: version of the list, ctx: token of the timer.
 MESSAGES: dict[str, dict[str, tuple[Parser, bool]]] = {
     "TURN": {"t_us": required(parse_integer)},
     "GO": {},
