--- a/bramblestile/tls/certificates.py
+++ b/bramblestile/tls/certificates.py
@@ -89,8 +89,8 @@
             f"not a PEM key: {str(error).splitlines()[0] if str(error) else 'unreadable'}"
         ) from None
 
-    def public_der(public_key: object) -> bytes:
-        return public_key.public_bytes(  # type: ignore[attr-defined,no-any-return]
+    def public_der(key_object: object) -> bytes:
+        return key_object.public_bytes(  # type: ignore[attr-defined,no-any-return]
             serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
         )
 
--- a/bramblestile/tls/channel.py
+++ b/bramblestile/tls/channel.py
@@ -153,10 +153,10 @@
     def session(self) -> Any:
         """Return the session for resumption by a later handshake, or None if the host does not offer that."""
         with self._lock:
-            session = self._ssl.session
+            ssl_session = self._ssl.session
         return (
-            session
-            if session is not None and (session.has_ticket or (session.id and self.version == "TLSv1.2"))
+            ssl_session
+            if ssl_session is not None and (ssl_session.has_ticket or (ssl_session.id and self.version == "TLSv1.2"))
             else None
         )
 
--- a/bramblestile/tls/dialer.py
+++ b/bramblestile/tls/dialer.py
@@ -152,7 +152,7 @@
                 host.id, cached is not None, warmth, at, max(until - at, ZERO_DURATION) / MAX_WAIT_DIVISOR
             )
             if wait is None and cached is not None and cached.single_use:
-                self._sessions.add(key, cached.session, cached.chain, at, cached.expires_at - at)
+                self._sessions.store(key, cached.session, cached.chain, at, cached.expires_at - at)
         if wait is None:
             self._counters.add("tls_spared")
             raise DialError(f"tls: {host.id}: handshake budget exhausted", skipped=True)
@@ -274,7 +274,7 @@
         lifetime = timedelta(seconds=session.ticket_lifetime_hint or session.timeout)
         if lifetime >= MIN_SESSION_LIFETIME:
             with self._lock:
-                self._sessions.add(key, session, channel.chain, self._clock(), lifetime, channel.version != "TLSv1.2")
+                self._sessions.store(key, session, channel.chain, self._clock(), lifetime, channel.version != "TLSv1.2")
 
     def _warn_of_expiry(self, host: str, chain: Sequence[CertificateInfo]) -> None:
         expiring = verification.next_expiry(chain, self._wall_clock(), self._config.expiry_warning_period)
--- a/bramblestile/tls/trust.py
+++ b/bramblestile/tls/trust.py
@@ -46,7 +46,7 @@
     """The files as they were at one moment. A TLS session belongs to the context, and so to the store, it began with.
 
     OpenSSL checks DNS names and IP addresses with ``hostname_context``. URIs are checked by ``verification``, with
-    ``uri_context``. ``contents`` identifies the configuration and the bytes of all files, so that a file that was only
+    ``uri_context``. ``snapshot`` holds the configuration and the bytes of all files, so that a file that was only
     touched is not taken for a changed one.
     """
 
@@ -56,7 +56,7 @@
     revoked: RevocationList
     client_chain: tuple[CertificateInfo, ...]
     authorities: tuple[CertificateInfo, ...]
-    contents: tuple[bytes, ...] = field(repr=False)
+    snapshot: tuple[bytes, ...] = field(repr=False)
     skip_verification: bool = False
 
     def expiry_warnings(self, now: datetime, warning_period: timedelta) -> list[str]:
@@ -97,13 +97,13 @@
         raise TlsFilesError(f"key: {path}: others may read it (mode {mode:04o}); it must be 0600")
 
 
-def _make_context(files: TlsFiles, ca: bytes | None, check_hostname: bool) -> ssl.SSLContext:
+def _make_context(files: TlsFiles, ca: bytes | None, checks_hostname: bool) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = VERSIONS[files.min_version]
     # With renegotiation a host could make any demand in mid-stream, and the size of compressed records reveals their
     # content.
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
-    context.check_hostname = check_hostname and not files.skip_verification
+    context.check_hostname = checks_hostname and not files.skip_verification
     if files.skip_verification:
         context.verify_mode = ssl.CERT_NONE
     elif ca is not None:
@@ -123,8 +123,8 @@
     contents = {
         name: _read(name, path) for name in ("ca", "cert", "key", "crl") if (path := getattr(files, name)) is not None
     }
-    identity = (repr(files).encode(), *contents.values())
-    if previous is not None and previous.contents == identity:
+    snapshot = (repr(files).encode(), *contents.values())
+    if previous is not None and previous.snapshot == snapshot:
         return previous
     authorities: Sequence[x509.Certificate] = ()
     client_chain: Sequence[x509.Certificate] = ()
@@ -146,7 +146,7 @@
     except CertificateParseError as error:
         raise TlsFilesError(f"{name}: {getattr(files, name)}: {error}") from None
     try:
-        contexts = [_make_context(files, contents.get("ca"), check_hostname) for check_hostname in (True, False)]
+        contexts = [_make_context(files, contents.get("ca"), checks_hostname) for checks_hostname in (True, False)]
     except (ssl.SSLError, OSError) as error:
         raise TlsFilesError(f"cert: {files.cert or files.ca}: {error}") from None
     # OpenSSL reads certificate and key from the files itself, so make sure that it read what was checked above.
@@ -159,6 +159,6 @@
         revoked,
         certificates.certificate_infos(client_chain),
         certificates.certificate_infos(authorities),
-        identity,
+        snapshot,
         files.skip_verification,
     )
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -278,18 +278,18 @@
 def test_session_is_not_resumed_after_a_change_of_authorities_name_or_start_time(
     start_host: Any, tmp_path: Path
 ) -> None:
-    ca_file = tmp_path / "ca.pem"
-    ca_file.write_bytes(ca().ca_file.read_bytes())
-    dialer = make_dialer(files=TlsFiles(ca_file))
+    ca_path = tmp_path / "ca.pem"
+    ca_path.write_bytes(ca().ca_file.read_bytes())
+    dialer = make_dialer(files=TlsFiles(ca_path))
     host = start_host(serve_greeting(ca().issue("b0.test", "else.test").server_context()))
     assert [open_and_close(dialer, host).session_reused for _ in range(2)] == [False, True]
     host.upstream_host = replace(host.upstream_host, tls_name="else.test")
     assert [open_and_close(dialer, host).session_reused for _ in range(2)] == [False, True]
     host.upstream_host = replace(host.upstream_host, started_at=now())
     assert [open_and_close(dialer, host).session_reused for _ in range(2)] == [False, True]
-    ca_file.write_bytes(ca().ca_file.read_bytes() + OTHER_AUTHORITY.ca_file.read_bytes())
+    ca_path.write_bytes(ca().ca_file.read_bytes() + OTHER_AUTHORITY.ca_file.read_bytes())
     assert dialer.reload_files() and [open_and_close(dialer, host).session_reused for _ in range(2)] == [False, True]
-    os.utime(ca_file)  # touched but not changed: the sessions remain
+    os.utime(ca_path)  # touched but not changed: the sessions remain
     assert dialer.reload_files() and open_and_close(dialer, host).session_reused
 
 
@@ -550,8 +550,8 @@
     handshake = threading.Thread(target=lambda: accept_one_handshake(scenario))
     handshake.start()
     # The decision module learns of it shortly after the cluster. A request between the two would be refused.
-    backends = scenario.front.decisions._balancer.backends
-    scenario.until(lambda: backends["b0"].info.state is State.RUNNING, "closed still")
+    listed_backends = scenario.front.decisions._balancer.backends
+    scenario.until(lambda: listed_backends["b0"].info.state is State.RUNNING, "closed still")
     handshake.join(5)
     scenario.run("c1 close\nb0 bye\nb0 ends\nc4 ask\nb0 taken\nb0 up\nc4 served")
 
--- a/tests/test_tls_decisions.py
+++ b/tests/test_tls_decisions.py
@@ -66,9 +66,9 @@
     admitted.sort()
     for first in range(0, len(admitted), 7):
         total_cost = 0.0
-        for at, cost in admitted[first:]:
+        for started_at, cost in admitted[first:]:
             total_cost += cost
-            period_s = (at - admitted[first][0]).total_seconds()
+            period_s = (started_at - admitted[first][0]).total_seconds()
             assert total_cost <= max(1, 8 / balancers) + 40 / balancers * period_s + 1.0 + 1e-6, (first, period_s)
     assert sum(cost for _, cost in admitted) > 0.9 * 5 * 40 / balancers  # and the rate is used up
 
@@ -82,7 +82,7 @@
     assert 0.9 * 4 * 10 <= len(coldest) <= 4 * 10 + 2  # a tenth of the rate is always granted
     warming = HandshakeBudget(HandshakeRates(full_per_s=40, burst=8))
     admitted = admitted_handshakes(warming, 10, lambda at: min(1.0, (at - T0) / (10 * S)))
-    in_first_half = sum(at < T0 + 5 * S for at, _ in admitted)
+    in_first_half = sum(started_at < T0 + 5 * S for started_at, _ in admitted)
     assert in_first_half < len(admitted) / 3
 
 
@@ -155,15 +155,15 @@
 def test_sessions_are_used_once_newest_first_and_expire() -> None:
     cache = SessionCache(sessions_per_host=3, max_age=10 * S)
     for n in range(5):
-        cache.add(KEY, n, (), T0 + n * S, 8 * S)
+        cache.store(KEY, n, (), T0 + n * S, 8 * S)
     assert cache.count("h") == 3
     assert [t.session if (t := cache.acquire(KEY, T0 + 4 * S)) else None for _ in range(4)] == [4, 3, 2, None]
-    cache.add(KEY, "expired", (), T0, 8 * S)
-    cache.add(KEY, "older than max_age", (), T0, 100 * S)
+    cache.store(KEY, "expired", (), T0, 8 * S)
+    cache.store(KEY, "older than max_age", (), T0, 100 * S)
     assert cache.acquire(KEY, T0 + 10 * S) is None and cache.count("h") == 0
-    cache.add(KEY, "1.2", (), T0, 8 * S, single_use=False)
+    cache.store(KEY, "1.2", (), T0, 8 * S, single_use=False)
     assert all(cache.acquire(KEY, T0) for _ in range(9))  # TLS 1.2 sessions are reused
-    cache.add(KEY, "no lifetime", (), T0, ZERO)
+    cache.store(KEY, "no lifetime", (), T0, ZERO)
     assert cache.count("h") == 1
 
 
@@ -173,11 +173,11 @@
 )
 def test_session_belongs_to_one_start_time_one_name_and_one_trust_store(other: SessionKey) -> None:
     cache = SessionCache()
-    cache.add(KEY, 1, (), T0, S)
+    cache.store(KEY, 1, (), T0, S)
     assert cache.acquire(other, T0) is None
     assert cache.acquire(KEY, T0) is None  # the other key has removed the session
-    cache.add(KEY, 1, (), T0, S)
-    cache.add(other, 2, (), T0, S)
+    cache.store(KEY, 1, (), T0, S)
+    cache.store(other, 2, (), T0, S)
     assert cache.count("h") == 1 and cache.acquire(other, T0) is not None
 
 
