--- a/bramblestile/tls/session_cache.py
+++ b/bramblestile/tls/session_cache.py
@@ -80,7 +80,7 @@
         lifetime: timedelta,
         single_use: bool = True,
     ) -> None:
-        """Store a session, unless its lifetime is over. If the host has too many sessions, the oldest one is removed."""
+        """Store a session unless its lifetime is over. If the host has too many sessions, its oldest one is removed."""
         time_to_live = min(lifetime, self.max_age, MAX_SESSION_AGE)
         if time_to_live <= timedelta(0) or self.sessions_per_host <= 0:
             return
--- a/tests/test_tls_decisions.py
+++ b/tests/test_tls_decisions.py
@@ -186,8 +186,10 @@
 
 def test_recheck_interval_of_refused_host_grows_and_changed_files_cause_a_recheck_at_once() -> None:
     refused = RefusedHosts()
-    expired = VerificationFailure(FailureReason.EXPIRED, "x")
-    wrong_name = VerificationFailure(FailureReason.WRONG_NAME, "y")
+    expired, wrong_name = (
+        VerificationFailure(FailureReason.EXPIRED, "x"),
+        VerificationFailure(FailureReason.WRONG_NAME, "y"),
+    )
     assert refused.add("h", expired, T0) and not refused.add("h", expired, T0) and refused.add("h", wrong_name, T0)
     checks_s, at = [], T0
     for _ in range(1000):
