--- a/bramblestile/cli/tls.py
+++ b/bramblestile/cli/tls.py
@@ -1,4 +1,4 @@
-"""``bramblestile tls``: check the hosts' certificates, and create test certificates."""
+"""``bramblestile tls``: check the hosts' certificates, and create certificates for development."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @click.group()
 def group() -> None:
-    """Check the image servers' certificates; create a certificate authority for tests."""
+    """Check the image servers' certificates; create an authority for development."""
 
 
 def _dialer(front: FrontConfig, is_nats: bool) -> Dialer:
@@ -115,7 +115,7 @@
 @click.option("--rsa", "use_rsa", is_flag=True, help="Use RSA 2048 in place of ECDSA P-256.")
 @click.option("--force", is_flag=True, help="Overwrite existing files.")
 def make_test_ca(directory: Path, hosts: Sequence[str], days: int, use_rsa: bool, force: bool) -> None:
-    """Create a certificate authority for tests, with certificates, in DIRECTORY.
+    """Create an authority for development, and certificates issued by it, in DIRECTORY.
 
     Writes ca.pem, client.pem and client.key for the balancer, and NAME.pem and NAME.key for each host. The authority's
     own key is not kept, so it can issue no further certificates. Not for production.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -34,7 +34,7 @@
 from vanegw.interface import State
 
 SECOND = timedelta(seconds=1)
-ESTABLISHED = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
+ESTABLISHED = "c1 ask\nb0 taken\nb0 up\nc1 served\n"  # a scenario with one established connection
 BOTH_PROTOCOLS = pytest.mark.parametrize("wire", ["lines+tls", "nats+tls"])
 
 
