--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -213,10 +213,10 @@
     served: tuple[ManagementServer, FakeBalancer, Counters], capsys: pytest.CaptureFixture[str]
 ) -> None:
     management_server, balancer, _ = served
-    address = "{}:{}".format(*management_server.address)
+    endpoint = "{}:{}".format(*management_server.address)
 
     def ops(*words: str) -> tuple[int, str, str]:
-        exit_code = run_cli(["ops", "--at", address, *words])
+        exit_code = run_cli(["ops", "--at", endpoint, *words])
         output = capsys.readouterr()
         # The balancer logs to the same standard error.
         return (
@@ -225,15 +225,15 @@
             "".join(line for line in output.err.splitlines(True) if line.startswith("bramblestile:")),
         )
 
-    assert ops("readyz") == (1, "", f"bramblestile: ops: {address}: 503 starting\n")
+    assert ops("readyz") == (1, "", f"bramblestile: ops: {endpoint}: 503 starting\n")
     assert ops("suspend", "s/1") == (0, "yes\n", "") and "s/1" in balancer.orders.suspended
     assert ops("resume", "s/1")[0] == 0 and "s/1" not in balancer.orders.suspended
     assert ops("drain")[0] == 0 and balancer.orders.drained
     assert ops("activate")[0] == 0 and not balancer.orders.drained
     assert ops("suspend", "s-2")[0] == 1 and ops("suspend")[0] == 2
-    address = "nowhere"
+    endpoint = "nowhere"
     assert ops("drain") == (2, "", "bramblestile: --at: 'nowhere' is not HOST:PORT\n")
     with socket.create_server(("127.0.0.1", 0)) as silent:
-        address = "{}:{}".format(*silent.getsockname())
+        endpoint = "{}:{}".format(*silent.getsockname())
         silent.close()
         assert ops("readyz")[0] == 1
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -210,11 +210,11 @@
             assert client.reader.readline() == b"MOVE\r\n"
             move_delays.append(now() - called_at)
 
-        readers = [threading.Thread(target=wait_for_move, args=(client,)) for client in clients]
-        for reader in readers:
-            reader.start()
-        for reader in readers:
-            reader.join()
+        threads = [threading.Thread(target=wait_for_move, args=(client,)) for client in clients]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         # The host stops at 2.25 s.
         assert len(move_delays) == 8 and 0.5 * S < sorted(move_delays)[4] < 1.6 * S and max(move_delays) < 2.2 * S
         for client in clients:
