--- a/bramblestile/operations/handoff.py
+++ b/bramblestile/operations/handoff.py
@@ -112,10 +112,10 @@
         self.pause_signal.set()
 
     def hand_over(self, connection: ProxiedConnection, request: api.Request) -> bool:
-        """Send a paused connection to the successor and return whether this process must let go of it.
+        """Send a paused connection to the successor and return whether the successor took it.
 
-        False means that the successor refused it or has ended, so that this process goes on with it. A successor that
-        is alive but does not reply in time may have adopted it; this counts as taken.
+        If it refused the connection or has ended, this process goes on with it. A successor that is alive but does not
+        reply in time may have adopted the connection, so this counts as taken.
         """
         with self._lock:
             link = self._successor if self._successor_ready.is_set() else None
