--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -97,9 +97,9 @@
     at = now()
     tracer.attempt(at, request_id, 0, choice.backend, "up", 900)
     tracer.answer(at, request, "served", 1, timedelta(milliseconds=2), choice.backend)
-    tracer.established(at, request_id, choice.backend, False)
+    tracer.connection_established(at, request_id, choice.backend, False)
     decisions.handle_event(api.Opened(request_id, 0, choice.backend, 900))
-    tracer.ended(at, request_id, choice.backend, "served", timedelta(seconds=2), False)
+    tracer.connection_ended(at, request_id, choice.backend, "served", timedelta(seconds=2), False)
     decisions.handle_event(api.Outcome(request_id, 0, choice.backend, api.Status.SERVED, 900, finished=True))
     decisions.unregister(active_request)
 
--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -83,7 +83,7 @@
 ) -> Query:
     def first_record_us() -> int:
         earliest = min((location.frame.first_us for location in reader.block_locations()), default=0)
-        reader.clear_findings()
+        reader.clear_damage_and_unknown_fields()
         return earliest
 
     return Query(resolve_time(since, first_record_us), resolve_time(until, first_record_us), id_, host, cls)
@@ -163,8 +163,8 @@
             )
             first = frame.first_us if first is None else min(first, frame.first_us)
             last = max(last, frame.last_us)
-            missing_blocks += max(0, frame.number - next_number)
-            next_number = frame.number + 1
+            missing_blocks += max(0, frame.block_number - next_number)
+            next_number = frame.block_number + 1
         for name, value in reader.description.items():
             click.echo(f"{name}: {value}")
         click.echo(
@@ -325,9 +325,9 @@
         else:
             inputs = align(readers, show_progress)
         for source in inputs:
-            click.echo(_clock_line(source.describe(), as_is), err=True)
+            click.echo(_clock_line(source.clock_entry(), as_is), err=True)
         records = _with_unknown_check(show_progress(merge_records(inputs), "merge"), readers, drop_unknown)
-        count = _write_trace(records, out, force, {"merged": [source.describe() for source in inputs]})
+        count = _write_trace(records, out, force, {"merged": [source.clock_entry() for source in inputs]})
         for reader in readers:
             _report_damage(reader)
         click.echo(f"{count} records", err=True)
@@ -500,7 +500,7 @@
 @click.argument("request")
 def story(file: Path, request: str) -> None:
     """Show one REQUEST from its arrival to its end: the candidates and their figures, the decisions and the reasons."""
-    from bramblestile.trace.story import describe
+    from bramblestile.trace.story import format_story
 
     with ExitStack() as stack:
         reader = _open(stack, file)
@@ -508,5 +508,5 @@
         _report_damage(reader)
         if not records:
             raise OperationError(f"{file}: no request {request}")
-        for line in describe(records, format_time):
+        for line in format_story(records, format_time):
             click.echo(line)
--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -88,10 +88,10 @@
         self.context.tracing.current.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
         self.log.debug("answer", outcome=outcome, attempts=attempts, host=host)
 
-    def attempt(self, at: timedelta, number: int, host: str, status: str, took_us: int, detail: str = "") -> None:
-        """Report how an upstream request ended, or that it is up."""
-        self.context.tracing.current.attempt(at, self.request.id, number, host, status, took_us, detail)
-        self.log.debug("attempt", number=number, host=host, status=status, took_us=took_us, detail=detail)
+    def attempt(self, at: timedelta, index: int, host: str, status: str, took_us: int, detail: str = "") -> None:
+        """Report how a request's attempt with this index, from 0, ended, or that its connection is up."""
+        self.context.tracing.current.attempt(at, self.request.id, index, host, status, took_us, detail)
+        self.log.debug("attempt", number=index, host=host, status=status, took_us=took_us, detail=detail)
 
 
 def serve_request(context: ServingContext, downstream: Downstream, client_request: ClientRequest) -> None:
@@ -106,8 +106,8 @@
         client_request.key,
         client_request.group,
         client_request.load_hint,
-        client_request.is_retry,
-        client_request.is_return,
+        is_retry=client_request.is_retry,
+        is_return=client_request.is_reconnect,
     )
     active = context.decisions.register(client_request.id, arrived + client_request.timeout)
     if active is None:
@@ -122,19 +122,19 @@
             _resume(context, downstream, client_request, request, active, reporter)
             return
         context.decisions.handle_event(request)
-        number = 0
+        attempt_index = 0  # equals the number of attempts that have failed so far
         while True:
             choice = active.next_choice()
             if downstream.has_disconnected():
-                reporter.answer(now(), "left", number)
+                reporter.answer(now(), "left", attempt_index)
                 context.decisions.handle_event(api.ClientGone(client_request.id))
                 return
             if isinstance(choice, api.Refuse):
-                reporter.answer(now(), "refused", number, wait_us=choice.retry_after_us)
+                reporter.answer(now(), "refused", attempt_index, wait_us=choice.retry_after_us)
                 downstream.refuse(from_microseconds(choice.retry_after_us))
                 return
             if isinstance(choice, api.Fail):
-                reporter.answer(now(), "failed", number)
+                reporter.answer(now(), "failed", attempt_index)
                 downstream.fail()
                 return
             sent = now()
@@ -143,16 +143,16 @@
             took = to_microseconds(at - sent)
             if isinstance(answer, NotEstablished):
                 context.counters.add(f"upstream_{answer.status.name.lower()}")
-                reporter.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
+                reporter.attempt(at, attempt_index, choice.backend, answer.status.name.lower(), took, answer.detail)
                 if answer.host_drains:
                     context.on_host_draining(choice.backend)
                 if answer.downstream_left:
-                    reporter.answer(at, "left", number + 1)
+                    reporter.answer(at, "left", attempt_index + 1)
                     context.decisions.handle_event(api.ClientGone(client_request.id))
                 context.decisions.handle_event(
                     api.Outcome(
                         client_request.id,
-                        number,
+                        attempt_index,
                         choice.backend,
                         answer.status,
                         took,
@@ -161,15 +161,20 @@
                 )
                 if answer.downstream_left:
                     return
-                number += 1
+                attempt_index += 1
                 continue
-            reporter.attempt(at, number, choice.backend, "up", took)
-            _establish(context, answer.connection, choice.backend, active, reporter, at, number + 1)
-            context.decisions.handle_event(api.Opened(client_request.id, number, choice.backend, took))
+            reporter.attempt(at, attempt_index, choice.backend, "up", took)
+            _establish(context, answer.connection, choice.backend, active, reporter, at, attempt_index + 1)
+            context.decisions.handle_event(api.Opened(client_request.id, attempt_index, choice.backend, took))
             status = _forward(context, answer.connection, at, request)
             context.decisions.handle_event(
                 api.Outcome(
-                    client_request.id, number, choice.backend, status, to_microseconds(now() - sent), finished=True
+                    client_request.id,
+                    attempt_index,
+                    choice.backend,
+                    status,
+                    to_microseconds(now() - sent),
+                    finished=True,
                 )
             )
             return
@@ -205,7 +210,7 @@
     """Report a connection as established and register it, so that it can be moved."""
     reporter.answer(at, "served", attempts, host)
     _register(context, connection, host, active)
-    context.tracing.current.established(at, connection.id, host, resumed)
+    context.tracing.current.connection_established(at, connection.id, host, resumed)
 
 
 def _register(context: ServingContext, connection: ProxiedConnection, host: str, active: ActiveRequest) -> None:
@@ -228,7 +233,7 @@
     ended = "handed_on" if status is None else status.name.lower()
     context.counters.add("moved" if connection.moved else "handed_on" if status is None else f"ended_{ended}")
     at = now()
-    context.tracing.current.ended(at, connection.id, connection.host, ended, at - began, connection.moved)
+    context.tracing.current.connection_ended(at, connection.id, connection.host, ended, at - began, connection.moved)
     return status or Status.CANCELLED
 
 
@@ -250,7 +255,7 @@
     def forward() -> None:
         try:
             context.counters.add("adopted")
-            context.tracing.current.established(at, connection.id, connection.host, True)
+            context.tracing.current.connection_established(at, connection.id, connection.host, True)
             _forward_inherited(context, connection, request, at)
         finally:
             context.decisions.unregister(active)
--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -50,12 +50,14 @@
         self._lock = threading.Lock()
         self._listed: dict[str, UpstreamHost] = {}
         self._check_results: dict[str, tuple[bool, float]] = {}  # takes work, share of the listed weight
-        self._closed: set[str] = set()  # no new connections, existing ones stay
+        self._refused_certificates: set[str] = (
+            set()
+        )  # hosts whose certificate is refused: no new connections, existing ones stay
         self._draining: set[str] = set()  # hosts that announced themselves that they drain
         self._suspended: Collection[str] = ()  # by operators, listed or not
         self._weight_factors: Mapping[str, float] = {}  # factors of the weights; 1 where a host has none
         self.send_allowed: Callable[[str], bool] | None = None  # a further condition, checked at each send
-        self._resumed: Mapping[str, timedelta] = {}  # hosts that operators resumed: their earliest start time
+        self._resumed_at: Mapping[str, timedelta] = {}  # hosts that operators resumed: their earliest start time
         self._sending: Counter[str] = Counter()  # requests that are being written to a host
 
     def update(self, mode: ListMode, hosts: Sequence[UpstreamHost]) -> list[UpstreamHost]:
@@ -65,7 +67,7 @@
                 current = {host.id: host for host in hosts}
                 self._check_results = {n: o for n, o in self._check_results.items() if n in current}
                 self._listed = {n: h for n, h in self._listed.items() if n in current}
-                self._closed.intersection_update(current)
+                self._refused_certificates.intersection_update(current)
                 self._draining.intersection_update(current)
             for host in hosts:
                 old = self._listed.get(host.id)
@@ -73,30 +75,33 @@
                 restarted = host.state is State.GONE or (old is not None and old.started_at != host.started_at)
                 if restarted:
                     self._check_results.pop(host.id, None)
-                    self._closed.discard(host.id)
+                    self._refused_certificates.discard(host.id)
                 if restarted or back_in_service:
                     self._draining.discard(host.id)
                 if host.state is State.GONE:
                     self._listed.pop(host.id, None)
                 else:
                     self._listed[host.id] = host
-            return [self._effective(host) for host in hosts]
+            return [self._with_effective_state(host) for host in hosts]
 
-    def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> UpstreamHost | None:
+    def apply_check(self, name: str, takes_work: bool | None, weight_share: float | None = None) -> UpstreamHost | None:
         """Apply a health check's result and return the host if its effective state changes, else None.
 
-        ``share`` is the part of its listed weight that the host is to have; None leaves a value as it was.
+        ``weight_share`` is the part of its listed weight that the host is to have; None leaves a value as it was.
         """
         with self._lock:
             host = self._listed.get(name)
             if host is None:
                 return None
-            before, (accepts, old_share) = self._effective(host), self._check_results.get(name, (True, 1.0))
+            before, (accepts, old_weight_share) = (
+                self._with_effective_state(host),
+                self._check_results.get(name, (True, 1.0)),
+            )
             accepts = accepts if takes_work is None else takes_work
             if takes_work:
                 self._draining.discard(name)
-            self._check_results[name] = (accepts, old_share if share is None else share)
-            after = self._effective(host)
+            self._check_results[name] = (accepts, old_weight_share if weight_share is None else weight_share)
+            after = self._with_effective_state(host)
             return after if after != before else None
 
     def set_closed(self, name: str, closed: bool) -> UpstreamHost | None:
@@ -104,7 +109,7 @@
 
         Existing connections stay. Returns the host if its effective state changes, else None.
         """
-        return self._set_mark(self._closed, name, closed)
+        return self._set_mark(self._refused_certificates, name, closed)
 
     def mark_draining(self, name: str) -> UpstreamHost | None:
         """Record a host's own announcement that it drains. Returns the host if its effective state changes."""
@@ -115,26 +120,30 @@
             host = self._listed.get(name)
             if host is None:
                 return None
-            before = self._effective(host)
+            before = self._with_effective_state(host)
             (marked.add if on else marked.discard)(name)
-            after = self._effective(host)
+            after = self._with_effective_state(host)
             return after if after != before else None
 
-    def _effective(self, host: UpstreamHost) -> UpstreamHost:
-        """Return the host with all sources applied. Called with the lock held."""
-        takes_work, share = self._check_results.get(host.id, (True, 1.0))
+    def _with_effective_state(self, host: UpstreamHost) -> UpstreamHost:
+        """Return the host in its effective state, by all sources that the class lists. Called with the lock held.
+
+        Suspended hosts, and those with a refused certificate, keep their connections, unlike draining ones. A host that
+        operators have resumed counts as started then, so that it gets its load back slowly.
+        """
+        takes_work, weight_share = self._check_results.get(host.id, (True, 1.0))
         state = host.state
         if state is State.RUNNING and (not takes_work or host.id in self._draining):
             state = State.DRAINING
-        if state is State.RUNNING and (host.id in self._closed or host.id in self._suspended):
+        if state is State.RUNNING and (host.id in self._refused_certificates or host.id in self._suspended):
             state = State.CLOSED
-        started_at, resumed_at = host.started_at, self._resumed.get(host.id)
+        started_at, resumed_at = host.started_at, self._resumed_at.get(host.id)
         if resumed_at is not None and (started_at is None or started_at < resumed_at):
             started_at = resumed_at
         return replace(
             host,
             state=state,
-            weight=host.weight * share * self._weight_factors.get(host.id, 1.0),
+            weight=host.weight * weight_share * self._weight_factors.get(host.id, 1.0),
             started_at=started_at,
         )
 
@@ -149,9 +158,9 @@
         ``resumed`` holds the time from which each resumed host counts as started.
         """
         with self._lock:
-            before = {name: self._effective(host) for name, host in self._listed.items()}
-            self._suspended, self._resumed, self._weight_factors = suspended, resumed, weight_factors or {}
-            return [name for name, host in self._listed.items() if self._effective(host) != before[name]]
+            before = {name: self._with_effective_state(host) for name, host in self._listed.items()}
+            self._suspended, self._resumed_at, self._weight_factors = suspended, resumed, weight_factors or {}
+            return [name for name, host in self._listed.items() if self._with_effective_state(host) != before[name]]
 
     def started_at(self, name: str) -> timedelta | None:
         """Return a host's last start as discovery lists it, whatever operators ordered."""
@@ -187,17 +196,19 @@
         """Return a listed host with its effective state, or None."""
         with self._lock:
             host = self._listed.get(name)
-            return None if host is None else self._effective(host)
+            return None if host is None else self._with_effective_state(host)
 
     def hosts(self) -> list[UpstreamHost]:
         """Return all listed hosts with their effective state."""
         with self._lock:
-            return [self._effective(host) for host in self._listed.values()]
+            return [self._with_effective_state(host) for host in self._listed.values()]
 
     def listed_hosts(self) -> list[UpstreamHost]:
         """Return all hosts as discovery lists them; only the start times include operators' resume orders."""
         with self._lock:
-            return [replace(host, started_at=self._effective(host).started_at) for host in self._listed.values()]
+            return [
+                replace(host, started_at=self._with_effective_state(host).started_at) for host in self._listed.values()
+            ]
 
     def accepts_requests(self, host: UpstreamHost) -> bool:
         """Return whether this is still the same start of the same host, in service and allowed to get requests."""
@@ -206,7 +217,7 @@
 
     def _accepts_requests(self, host: UpstreamHost) -> bool:
         listed = self._listed.get(host.id)
-        effective = None if listed is None else self._effective(listed)
+        effective = None if listed is None else self._with_effective_state(listed)
         return (
             effective is not None
             and effective.state is State.RUNNING
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -157,9 +157,9 @@
             self._counters.add("list_unavailable")
         self.handle_event(api.BackendList(mode, tuple(to_backend(h) for h in effective)))
 
-    def apply_check(self, name: str, takes_work: bool | None, share: float | None = None) -> bool:
+    def apply_check(self, name: str, takes_work: bool | None, weight_share: float | None = None) -> bool:
         """Apply a health check's result (see ``Cluster.apply_check``). Returns whether it changes the host."""
-        return self._report_change(self._cluster.apply_check(name, takes_work, share))
+        return self._report_change(self._cluster.apply_check(name, takes_work, weight_share))
 
     def mark_draining(self, name: str) -> bool:
         """Record a host's own announcement that it drains. Returns whether it changes the host."""
@@ -173,7 +173,7 @@
         """Return each host's load as last reported, and whether it is masked because of failures."""
         at = to_microseconds(now())
         with self._lock:
-            return {name: (known.load, known.masked_until_us > at) for name, known in self._balancer.backends.items()}
+            return {name: (state.load, state.masked_until_us > at) for name, state in self._balancer.backends.items()}
 
     def refresh_hosts(self, names: Sequence[str]) -> None:
         """Report the effective state of these hosts to the module."""
@@ -230,7 +230,7 @@
         elif isinstance(event, api.Note):
             tracer.note(at, event)
         elif isinstance(event, api.BackendList):
-            tracer.listed(at, self._name, event)
+            tracer.host_list_received(at, self._name, event)
         for snapshot in decisions:
             tracer.decision(at, snapshot)
         for action in actions:
@@ -238,7 +238,7 @@
                 tracer.probe_sent(at, self._name, action.backend)
             elif isinstance(action, api.Move):
                 active = self._active_requests.get(action.id)
-                tracer.moved(at, action.id, active.host if active else "", move_reason(event))
+                tracer.connection_moved(at, action.id, active.host if active else "", move_reason(event))
 
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -452,12 +452,12 @@
             self.recorder = recorder = make_recorder(config, self.counters)
             recorder.start()
             self.tracing.current = recorder
-            recorder.started(now(), config.hall, [front.name for front in self.fronts])
+            recorder.process_started(now(), config.hall, [front.name for front in self.fronts])
 
     def stop_trace(self) -> None:
         """End the trace; called last, so that the trace contains what the stop did."""
         if self.recorder is not None:
-            self.recorder.stopped(now(), len(self._all_connections()))
+            self.recorder.process_stopped(now(), len(self._all_connections()))
             self.recorder.stop()
 
     def _make_store(self, config: StoreConfig, seed: int) -> None:
@@ -648,7 +648,7 @@
     def _move(self, connection: ProxiedConnection, reason: str) -> None:
         already_moved = connection.moved or connection.move_requested
         if connection.move(MOVE_TICK) and not already_moved:
-            self.tracing.current.moved(now(), connection.id, connection.host, reason)
+            self.tracing.current.connection_moved(now(), connection.id, connection.host, reason)
 
     def _stop_listening(self, listeners: list[Listener], delay: timedelta) -> None:
         time.sleep(delay.total_seconds())
@@ -675,10 +675,10 @@
     except ConfigError as error:
         daemon.counters.add("reloads_refused")
         daemon.log.error("reload", text=f"kept as it was: {error}")
-        daemon.tracing.current.reloaded(now(), False, str(error))
+        daemon.tracing.current.configuration_reloaded(now(), False, str(error))
         return
     daemon.counters.add("reloads")
-    daemon.tracing.current.reloaded(now(), True, "")
+    daemon.tracing.current.configuration_reloaded(now(), True, "")
     daemon.log.info("reload", text="done")
 
 
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -254,7 +254,7 @@
         if (config.checks, config.check_interval) != (old.checks, old.check_interval):
             self.checks.stop()
             for name in old.checks:  # the last result of a removed check must not stay in force
-                self.on_check_result(name, CheckResult(takes_work=True, share=1.0))
+                self.on_check_result(name, CheckResult(takes_work=True, weight_share=1.0))
             self.checks = HealthChecker(config.checks, config.check_interval, self.on_check_result, self.counters)
             self.checks.start()
 
@@ -342,9 +342,9 @@
 
     def on_check_result(self, name: str, result: CheckResult) -> None:
         """Apply the result of a health check to an upstream host."""
-        if self.decisions.apply_check(name, result.takes_work, result.share):
+        if self.decisions.apply_check(name, result.takes_work, result.weight_share):
             self.counters.add("checks_changed_a_host")
-            self.log.info("check", host=name, takes_work=result.takes_work, share=result.share)
+            self.log.info("check", host=name, takes_work=result.takes_work, share=result.weight_share)
 
     def running_share(self) -> float:
         """Return the share of the listed upstream hosts that accept requests; 0 if none is listed."""
--- a/bramblestile/protocol.py
+++ b/bramblestile/protocol.py
@@ -25,8 +25,8 @@
     key: int | None = None
     group: int | None = None
     load_hint: float | None = None
-    is_retry: bool = False
-    is_return: bool = False
+    is_retry: bool = False  # the client repeats a request that was refused or failed
+    is_reconnect: bool = False  # the client comes back after an established connection was moved or cut
     bound_to: str | None = None  # the upstream host that already holds this connection
 
 
--- a/bramblestile/sockets.py
+++ b/bramblestile/sockets.py
@@ -227,15 +227,15 @@
         if ready is abort_on:
             raise InterruptedError
 
-    def read_buffered(self, into: memoryview) -> int:
-        """Move buffered bytes beyond the last line into the view, as far as they fit, and return their number."""
-        size = min(self.end - self.start, len(into))
-        into[:size] = self.view[self.start : self.start + size]
+    def read_buffered(self, target: memoryview) -> int:
+        """Move buffered bytes that follow the last returned line into ``target``; return how many fitted."""
+        size = min(self.end - self.start, len(target))
+        target[:size] = self.view[self.start : self.start + size]
         self.start += size
         return size
 
     def take_buffered(self) -> bytes:
-        """Remove and return all buffered bytes beyond the last line."""
+        """Remove and return all buffered bytes that follow the last returned line."""
         buffered = bytes(self.view[self.start : self.end])
         self.start = self.end = 0
         return buffered
--- a/bramblestile/trace/clocks.py
+++ b/bramblestile/trace/clocks.py
@@ -115,9 +115,9 @@
     """The estimated offset of another clock.
 
     ``offset_us`` is there minus here at ``middle_us``, with a 95% interval of plus or minus ``error_us``; ``drift`` is
-    in seconds per second. ``links`` counts the links used, by kind. ``method`` is "links", "returns" (clients that came
-    back in both directions), or "nothing": then the offset is 0 and ``error_us`` infinite, and ``note`` may state a
-    one-sided bound.
+    in seconds per second. ``link_counts`` holds the number of links used, by kind. ``method`` is "links", "returns"
+    (clients that came back in both directions), or "nothing": then the offset is 0 and ``error_us`` infinite, and
+    ``note`` may state a one-sided bound.
     """
 
     offset_us: float
@@ -125,7 +125,7 @@
     drift: float
     drift_error: float
     middle_us: int
-    links: dict[str, int]
+    link_counts: dict[str, int]
     method: str
     note: str = ""
 
@@ -367,7 +367,7 @@
         -reverse.drift,
         reverse.drift_error,
         reverse.middle_us,
-        reverse.links,
+        reverse.link_counts,
         reverse.method,
         reverse.note,
     )
--- a/bramblestile/trace/columns.py
+++ b/bramblestile/trace/columns.py
@@ -45,12 +45,12 @@
 class Prediction:
     """Values predicted from the records of another kind for the same requests.
 
-    The column stores the differences from ``values``. ``kind`` is the number of the other kind in the block;
-    ``elapsed`` says that a value is predicted as the time since that record, not as a copy of its field.
+    The column stores the differences from ``values``. ``source_kind`` is the number of the other record kind in the
+    block; ``is_elapsed_time`` says that a value is predicted as the time since that record, not as a copy of its field.
     """
 
-    kind: int
-    elapsed: bool
+    source_kind: int
+    is_elapsed_time: bool
     values: Sequence[int]
 
 
@@ -68,8 +68,8 @@
     the column need not repeat what that record holds.
     """
 
-    kind: int
-    source: int
+    source_kind: int  # number of that record kind in the block
+    value_source: int  # one of SOURCE_TIME, SOURCE_SAME_FIELD, SOURCE_ZERO
     updates: Updates
 
 
@@ -262,7 +262,7 @@
             deltas = _keyed_deltas(values, keys, candidate.updates if candidate else ())
             if deltas.count(0) * 2 > len(deltas):
                 layout = (
-                    bytes([UPDATED_DELTA]) + encode_varint(candidate.kind) + bytes([candidate.source])
+                    bytes([UPDATED_DELTA]) + encode_varint(candidate.source_kind) + bytes([candidate.value_source])
                     if candidate
                     else bytes([KEYED_DELTA])
                 )
@@ -272,8 +272,8 @@
         if sum(map(int.bit_length, residuals)) < sum(map(int.bit_length, values)):
             return (
                 bytes([PREDICTED])
-                + encode_varint(prediction.kind)
-                + bytes([prediction.elapsed])
+                + encode_varint(prediction.source_kind)
+                + bytes([prediction.is_elapsed_time])
                 + _encode_offsets(residuals, min(residuals))
             )
     steps = list(map(sub, values[1:], values))
@@ -367,7 +367,7 @@
         decimals, scaled_values = scaled
         if key_updates is not None:
             key_updates = KeyUpdates(
-                key_updates.kind, key_updates.source, _scale_updates(key_updates.updates, 10**decimals)
+                key_updates.source_kind, key_updates.value_source, _scale_updates(key_updates.updates, 10**decimals)
             )
         return bytes([DECIMAL, decimals]) + encode_ints(scaled_values, keys, key_updates=key_updates)
     return bytes([RAW]) + _to_byte_planes(values, 8, "d")
--- a/bramblestile/trace/files.py
+++ b/bramblestile/trace/files.py
@@ -248,10 +248,10 @@
                 for record in self.read_block(location):
                     if getattr(record, "cls", None) == query.cls:
                         ids.add(request_id_of(record) or "")
-        self.clear_findings()
+        self.clear_damage_and_unknown_fields()  # the second pass over these blocks finds them again
         return ids
 
-    def clear_findings(self) -> None:
+    def clear_damage_and_unknown_fields(self) -> None:
         """Forget damage and unknown fields between two passes; the second one finds them again."""
         self.damage.clear()
         self.damage_count = 0
@@ -288,7 +288,7 @@
         self._compressing: deque[Future[bytes]] = deque()
         self._block_records = block_records
         self._pending: list[Record] = []
-        self._number = 0
+        self._next_block_number = 0
         self.record_count = 0
         header = frames.encode_file_header(description)
         file.write(header)
@@ -318,16 +318,16 @@
 
     def write_block(self, records: Sequence[Record]) -> None:
         """Write these records as one block."""
-        encoder = self._encoders[self._number % len(self._encoders)]
-        block, number = encoder.encode(records), self._number
-        self._number += 1
+        encoder = self._encoders[self._next_block_number % len(self._encoders)]
+        block, block_number = encoder.encode(records), self._next_block_number
+        self._next_block_number += 1
         if self._pool is None:
-            self._append(encoder.compress(block, number))
+            self._append(encoder.compress(block, block_number))
         else:
             # At most one block waits per encoder, so the encoder that is used next has finished its last one.
             if len(self._compressing) == len(self._encoders):
                 self._append(self._compressing.popleft().result())
-            self._compressing.append(self._pool.submit(encoder.compress, block, number))
+            self._compressing.append(self._pool.submit(encoder.compress, block, block_number))
         self.record_count += len(records)
 
     def _append(self, encoded: bytes) -> None:
--- a/bramblestile/trace/frames.py
+++ b/bramblestile/trace/frames.py
@@ -96,10 +96,11 @@
 class Frame:
     """The frame of one block.
 
-    ``first_us`` and ``last_us`` are the earliest and latest corrected time of its records.
+    ``block_number`` counts the blocks of a file from 0, so that a gap shows lost blocks. ``first_us`` and ``last_us``
+    are the earliest and latest corrected time of its records.
     """
 
-    number: int
+    block_number: int
     record_count: int
     first_us: int
     last_us: int
@@ -125,7 +126,7 @@
             self.record_count,
             self.first_us,
             self.last_us,
-            self.number,
+            self.block_number,
             self.body_checksum,
         )
         return header + checksum(header).to_bytes(8, "little")
@@ -138,9 +139,18 @@
         or checksum(header[: _FRAME_HEADER.size]).to_bytes(8, "little") != header[_FRAME_HEADER.size : FRAME_SIZE]
     ):
         return None
-    mark, layout, payload_bytes, raw_bytes, filter_bytes, record_count, first_us, last_us, number, body_checksum = (
-        _FRAME_HEADER.unpack_from(header)
-    )
+    (
+        mark,
+        layout,
+        payload_bytes,
+        raw_bytes,
+        filter_bytes,
+        record_count,
+        first_us,
+        last_us,
+        block_number,
+        body_checksum,
+    ) = _FRAME_HEADER.unpack_from(header)
     if (
         mark != BLOCK_MARK
         or raw_bytes > MAX_RAW_BYTES
@@ -148,7 +158,9 @@
         or not 0 < record_count <= payload.MAX_RECORDS
     ):
         return None
-    return Frame(number, record_count, first_us, last_us, payload_bytes, raw_bytes, filter_bytes, body_checksum, layout)
+    return Frame(
+        block_number, record_count, first_us, last_us, payload_bytes, raw_bytes, filter_bytes, body_checksum, layout
+    )
 
 
 def request_key(name: str) -> str:
@@ -250,12 +262,12 @@
             times = list(map(add, times, adjustments))
         return EncodedBlock(raw, build_filter(filter_keys(records)), len(records), min(times), max(times), self._layout)
 
-    def compress(self, block: EncodedBlock, number: int) -> bytes:
+    def compress(self, block: EncodedBlock, block_number: int) -> bytes:
         """Compress an encoded block and put its frame in front."""
         compressed = self._compressor.compress(block.raw)
         body = block.filter + compressed
         frame = Frame(
-            number,
+            block_number,
             block.record_count,
             block.first_us,
             block.last_us,
@@ -267,9 +279,9 @@
         )
         return frame.encode() + body
 
-    def encode_block(self, records: Sequence[Record], number: int) -> bytes:
+    def encode_block(self, records: Sequence[Record], block_number: int) -> bytes:
         """Encode and compress one block."""
-        return self.compress(self.encode(records), number)
+        return self.compress(self.encode(records), block_number)
 
 
 class BlockDecoder:
--- a/bramblestile/trace/merging.py
+++ b/bramblestile/trace/merging.py
@@ -40,8 +40,12 @@
             moved += step.correction_us(moved)
         return moved - at
 
-    def describe(self) -> dict[str, Any]:
-        """Return the entry on this file for the description of the merged file."""
+    def clock_entry(self) -> dict[str, Any]:
+        """Return how this file's clock was corrected, as an entry of the merged file's description.
+
+        ``by`` is the method of the estimate, ``against`` the file whose clock this one was compared with, and ``links``
+        the number of events used that both files hold, by kind.
+        """
         estimate = self.estimate
         return {
             "file": self.name,
@@ -50,15 +54,15 @@
             "offset_us": round(estimate.offset_us),
             "within_us": None if estimate.error_us == float("inf") else round(estimate.error_us),
             "drift_ppm": round(estimate.drift * 1e6, 2),
-            "links": estimate.links,
+            "links": estimate.link_counts,
             "note": estimate.note,
         }
 
 
-def _clock_of(reader: Reader, number: int) -> str:
+def _clock_of(reader: Reader, file_index: int) -> str:
     """Return the name of a file's clock: files of one instance share it, a file without an instance has its own."""
     name = reader.description.get("instance")
-    return f"i{name}" if isinstance(name, str) and name else f"#{number}"
+    return f"i{name}" if isinstance(name, str) and name else f"#{file_index}"
 
 
 def align(readers: Sequence[Reader], progress: Progress) -> list[MergeInput]:
@@ -72,7 +76,7 @@
         events = clocks.setdefault(clock, ClockEvents())
         for record in progress(reader.read(), f"{names[index]}: collecting clock links"):
             events.add(record)
-        reader.clear_findings()
+        reader.clear_damage_and_unknown_fields()
     clock_names = list(clocks)
     estimates = {
         (a, b): estimate_offset(clocks[clock_names[a]], clocks[clock_names[b]])
--- a/bramblestile/trace/payload.py
+++ b/bramblestile/trace/payload.py
@@ -105,14 +105,16 @@
 
     def values_for(self, kind: int, name: str, ids: Sequence[int]) -> list[int]:
         self.check_readable(kind, name)
-        known = self._values.get((kind, name), {})
-        return [known.get(i, 0) for i in ids]
+        value_by_id = self._values.get((kind, name), {})
+        return [value_by_id.get(i, 0) for i in ids]
 
     def elapsed(self, kind: int, ids: Sequence[int], times: Sequence[int]) -> list[int]:
         """Return the time since the request's record of that kind, 0 where it has none."""
         self.check_readable(kind, "at")
-        known = self._values.get((kind, "at"), {})
-        return [t - before if (before := known.get(i)) is not None else 0 for i, t in zip(ids, times, strict=True)]
+        value_by_id = self._values.get((kind, "at"), {})
+        return [
+            t - before if (before := value_by_id.get(i)) is not None else 0 for i, t in zip(ids, times, strict=True)
+        ]
 
 
 @dataclass(slots=True)
@@ -176,7 +178,7 @@
 class _KindContext:
     """The requests and times of the rows of one kind, while its columns are encoded or decoded."""
 
-    number: int  # of the kind in the block
+    kind_number: int  # in the block
     request_values: _RequestValues
     ids: list[int]  # indices in the string table
     times: list[int]
@@ -191,7 +193,7 @@
     def subset(self, present: Sequence[bool]) -> _KindContext:
         """Return the context of the present rows only."""
         return _KindContext(
-            self.number,
+            self.kind_number,
             self.request_values,
             [i for i, p in zip(self.ids, present, strict=True) if p],
             [t for t, p in zip(self.times, present, strict=True) if p],
@@ -244,7 +246,7 @@
             _check_int_range(column.name, values)
         if kind is None:
             return presence + columns.encode_ints(values, keys, key_updates=key_updates)
-        kind.request_values.add(kind.number, column.name, kind.ids, values)
+        kind.request_values.add(kind.kind_number, column.name, kind.ids, values)
         return presence + columns.encode_ints(values, keys, kind.prediction(column.name))
     if column.type == FLOAT:
         return presence + columns.encode_floats(values, keys, key_updates)
@@ -348,29 +350,29 @@
         columns.encode_ints(sources),
     ]
     positions = _positions_by_kind(parts[0], len(kind_numbers))
-    for cls, number in kind_numbers.items():
+    for cls, kind_number in kind_numbers.items():
         same_kind = kinds[cls]
         ids = _request_numbers(same_kind, tables)
         kind = (
             None
             if ids is None
             else _KindContext(
-                number,
+                kind_number,
                 request_values,
                 ids,
                 [r.at for r in same_kind],
                 kind_numbers,
                 cls,
-                positions[number],
+                positions[kind_number],
                 host_reports,
             )
         )
         if kind is not None:
-            request_values.add(number, "at", kind.ids, kind.times)
+            request_values.add(kind_number, "at", kind.ids, kind.times)
         encoded = _encode_rows(SCHEMAS[cls], same_kind, tables, kind=kind)
         if cls is Probed:
             hosts = tables.indices("host", [r.host for r in same_kind])  # type: ignore[attr-defined]
-            host_reports[number] = _HostReports(positions[number], hosts, same_kind)
+            host_reports[kind_number] = _HostReports(positions[kind_number], hosts, same_kind)
         parts += [
             encode_short_string(kind_name(cls)),
             bytes([cls.VERSION]),
@@ -459,7 +461,7 @@
     values = columns.decode_ints(
         cursor, count, keys, lambda source_kind, elapsed: kind.predict(column.name, source_kind, elapsed)
     )
-    kind.request_values.add(kind.number, column.name, kind.ids, values)
+    kind.request_values.add(kind.kind_number, column.name, kind.ids, values)
     return values
 
 
@@ -506,7 +508,7 @@
         if column is None or column.type != type_ or nullable > column.nullable:
             unknown.add(f"{schema.cls.__name__}.{name}", count)
             if kind is not None:
-                kind.request_values.mark_skipped(kind.number, name)
+                kind.request_values.mark_skipped(kind.kind_number, name)
             continue
         stored_column = column if column.nullable == bool(nullable) else Column(name, type_, False, column.item_schema)
         kind_with_ids = kind if kind and kind.ids else None
@@ -516,7 +518,7 @@
             if kind is not None and name == "id" and n == 0:
                 # The first column tells which requests the rows belong to; predictions for the others need it.
                 kind.ids = numbers
-                kind.request_values.add(kind.number, "at", kind.ids, kind.times)
+                kind.request_values.add(kind.kind_number, "at", kind.ids, kind.times)
             if keys is None and name in KEY_COLUMNS:
                 keys = numbers
         else:
@@ -574,16 +576,16 @@
     request_values = _RequestValues()
     positions = _positions_by_kind(order, kinds)
     host_reports: dict[int, _HostReports] = {}
-    for number in range(kinds):
+    for kind_number in range(kinds):
         name, _version, record_count = cursor.read_string(), cursor.read_byte(), cursor.read_count(MAX_RECORDS)
         body = Cursor(cursor.read(cursor.read_count(MAX_COLUMN_BYTES)))
-        own_positions = positions[number]
+        own_positions = positions[kind_number]
         if len(own_positions) != record_count:
             raise ColumnError(f"{name}: {record_count} records declared, {len(own_positions)} found")
         cls = TYPES_BY_KIND.get(name)
         if cls is None or _version > cls.VERSION:
             unknown.add(name, record_count)
-            request_values.mark_skipped(number, "")
+            request_values.mark_skipped(kind_number, "")
             iterators.append(None)
             continue
         times = [all_times[n] for n in own_positions]
@@ -593,14 +595,16 @@
             record_count,
             tables,
             unknown,
-            kind=_KindContext(number, request_values, [], times, positions=own_positions, host_reports=host_reports),
+            kind=_KindContext(
+                kind_number, request_values, [], times, positions=own_positions, host_reports=host_reports
+            ),
             at=times,
             adj=[all_adjustments[n] for n in own_positions],
             src=[all_sources[n] for n in own_positions],
         )
         if cls is Probed and decoded:
             numbers = {text: n for n, text in enumerate(tables.get("host", []))}
-            host_reports[number] = _HostReports(own_positions, [numbers[r.host] for r in decoded], decoded)
+            host_reports[kind_number] = _HostReports(own_positions, [numbers[r.host] for r in decoded], decoded)
         iterators.append(iter(decoded))
     if cursor.position != cursor.end:
         raise ColumnError(f"{cursor.end - cursor.position} unread bytes")
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -82,12 +82,12 @@
     def __init__(self, emit: Callable[[Record], None]) -> None:
         self._emit = emit
 
-    def request(self, at: timedelta, front: str, request: api.Request, bound_to: str | None) -> None:
+    def request(self, at: timedelta, front_name: str, request: api.Request, bound_to: str | None) -> None:
         """Record the arrival of a request."""
         self._emit(
             records.Request(
                 request.id,
-                front,
+                front_name,
                 request.cls,
                 request.remaining_us,
                 request.tenant,
@@ -119,11 +119,11 @@
             )
         )
 
-    def probe_sent(self, at: timedelta, front: str, host: str) -> None:
+    def probe_sent(self, at: timedelta, front_name: str, host: str) -> None:
         """Record that a probe was sent."""
-        self._emit(records.ProbeSent(host, front, at=at // MICROSECOND))
+        self._emit(records.ProbeSent(host, front_name, at=at // MICROSECOND))
 
-    def probed(self, at: timedelta, front: str, result: api.ProbeResult) -> None:
+    def probed(self, at: timedelta, front_name: str, result: api.ProbeResult) -> None:
         """Record the result of a probe."""
         report = result.report or api.Report()
         self._emit(
@@ -131,7 +131,7 @@
                 result.backend,
                 result.status.name.lower(),
                 result.took_us,
-                front,
+                front_name,
                 report.load,
                 report.utilisation,
                 report.queue,
@@ -143,10 +143,10 @@
         )
 
     def attempt(
-        self, at: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
+        self, at: timedelta, id: str, attempt_index: int, host: str, status: str, took_us: int, detail: str = ""
     ) -> None:
         """Record the end of an upstream request."""
-        self._emit(records.Attempt(id, number, host, status, took_us, detail or None, at=at // MICROSECOND))
+        self._emit(records.Attempt(id, attempt_index, host, status, took_us, detail or None, at=at // MICROSECOND))
 
     def answer(
         self,
@@ -173,7 +173,7 @@
             )
         )
 
-    def established(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
+    def connection_established(self, at: timedelta, id: str, host: str, resumed: bool) -> None:
         """Record that a connection is established."""
         self._emit(records.Stand(id, host, resumed, at=at // MICROSECOND))
 
@@ -185,36 +185,36 @@
             )
         )
 
-    def moved(self, at: timedelta, id: str, host: str, reason: str) -> None:
+    def connection_moved(self, at: timedelta, id: str, host: str, reason: str) -> None:
         """Record that an established connection was told to move."""
         self._emit(records.Moved(id, host, reason, at=at // MICROSECOND))
 
-    def ended(self, at: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
+    def connection_ended(self, at: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
         """Record the end of an established connection."""
         self._emit(records.Ended(id, host, status, took // MICROSECOND, moved, at=at // MICROSECOND))
 
-    def listed(self, at: timedelta, front: str, event: api.BackendList) -> None:
-        """Record a host list."""
+    def host_list_received(self, at: timedelta, front_name: str, event: api.BackendList) -> None:
+        """Record that a front received a host list, with the state of each host in it."""
         self._emit(
             records.Listed(
-                front,
+                front_name,
                 event.mode.value,
                 [records.HostState(b.name, b.state.value, b.zone, b.weight, b.started_us or 0) for b in event.backends],
                 at=at // MICROSECOND,
             )
         )
 
-    def started(self, at: timedelta, hall: str, fronts: Sequence[str]) -> None:
+    def process_started(self, at: timedelta, hall: str, fronts: Sequence[str]) -> None:
         """Record the start of the program."""
         self._emit(records.Started(hall, __version__, ",".join(fronts), at=at // MICROSECOND))
 
-    def stopped(self, at: timedelta, standing: int) -> None:
+    def process_stopped(self, at: timedelta, open_connections: int) -> None:
         """Record the stop of the program."""
-        self._emit(records.Stopped(standing, at=at // MICROSECOND))
+        self._emit(records.Stopped(open_connections, at=at // MICROSECOND))
 
-    def reloaded(self, at: timedelta, taken: bool, text: str) -> None:
+    def configuration_reloaded(self, at: timedelta, applied: bool, error: str) -> None:
         """Record a reload of the configuration."""
-        self._emit(records.Reloaded(taken, text, at=at // MICROSECOND))
+        self._emit(records.Reloaded(applied, error, at=at // MICROSECOND))
 
 
 class Recorder(RecordBuilder):
--- a/bramblestile/trace/story.py
+++ b/bramblestile/trace/story.py
@@ -41,8 +41,8 @@
     return f"{us / 1000:.1f} ms" if us >= 1000 else f"{us:.0f} us"
 
 
-def describe(records: Iterable[Record], clock: Callable[[int], str]) -> Iterator[str]:
-    """Yield one or more lines for each record, by corrected time; ``clock`` formats the time of the first."""
+def format_story(records: Iterable[Record], clock: Callable[[int], str]) -> Iterator[str]:
+    """Yield one or more lines of text for each record, by corrected time; ``clock`` formats the time of the first."""
     start: int | None = None
     for record in sorted(records, key=corrected_time):
         at = corrected_time(record)
--- a/bramblestile/tracing.py
+++ b/bramblestile/tracing.py
@@ -17,27 +17,27 @@
 class Tracer:
     """Receives the events of a balancer and ignores them: tracing is off.
 
-    ``time`` is always the time of the event since the Unix epoch, ``id`` the id of a request and ``front`` the name of
-    a front.
+    ``time`` is always the time of the event since the Unix epoch, ``id`` the id of a request, ``front_name`` the name
+    of the front, that is, of the configured service, and ``attempt_index`` counts the attempts of a request from 0.
     """
 
     recording = False  # whether decisions come with a snapshot of each candidate host
     make_candidate: Callable[..., Any] = CandidateSnapshot  # builds the snapshot of one candidate host
 
-    def request(self, time: timedelta, front: str, request: api.Request, bound_to: str | None) -> None:
+    def request(self, time: timedelta, front_name: str, request: api.Request, bound_to: str | None) -> None:
         """Record that a request arrived; ``bound_to`` is the host that already holds its connection, if any."""
 
     def decision(self, time: timedelta, snapshot: DecisionSnapshot) -> None:
         """Record a decision on a request."""
 
-    def probe_sent(self, time: timedelta, front: str, host: str) -> None:
+    def probe_sent(self, time: timedelta, front_name: str, host: str) -> None:
         """Record that a probe was sent."""
 
-    def probed(self, time: timedelta, front: str, result: api.ProbeResult) -> None:
+    def probed(self, time: timedelta, front_name: str, result: api.ProbeResult) -> None:
         """Record the result of a probe."""
 
     def attempt(
-        self, time: timedelta, id: str, number: int, host: str, status: str, took_us: int, detail: str = ""
+        self, time: timedelta, id: str, attempt_index: int, host: str, status: str, took_us: int, detail: str = ""
     ) -> None:
         """Record how an upstream request ended, or that it is up."""
 
@@ -53,28 +53,28 @@
     ) -> None:
         """Record the one answer to a request; ``wait_us`` is the retry time of a refusal."""
 
-    def established(self, time: timedelta, id: str, host: str, resumed: bool) -> None:
+    def connection_established(self, time: timedelta, id: str, host: str, resumed: bool) -> None:
         """Record that a connection is up; ``resumed`` where its host held it before."""
 
     def note(self, time: timedelta, note: api.Note) -> None:
         """Record a note on a connection that was passed to the decision module."""
 
-    def moved(self, time: timedelta, id: str, host: str, reason: str) -> None:
+    def connection_moved(self, time: timedelta, id: str, host: str, reason: str) -> None:
         """Record that a connection's client was told to move."""
 
-    def ended(self, time: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
+    def connection_ended(self, time: timedelta, id: str, host: str, status: str, took: timedelta, moved: bool) -> None:
         """Record the end of a connection."""
 
-    def listed(self, time: timedelta, front: str, event: api.BackendList) -> None:
-        """Record news of the list of hosts."""
+    def host_list_received(self, time: timedelta, front_name: str, event: api.BackendList) -> None:
+        """Record that a front received the list of hosts, or changes of it."""
 
-    def started(self, time: timedelta, hall: str, fronts: Sequence[str]) -> None:
+    def process_started(self, time: timedelta, hall: str, fronts: Sequence[str]) -> None:
         """Record the start of the recording process."""
 
-    def stopped(self, time: timedelta, open_connections: int) -> None:
+    def process_stopped(self, time: timedelta, open_connections: int) -> None:
         """Record the stop of the process, with the number of connections that are still open."""
 
-    def reloaded(self, time: timedelta, taken: bool, text: str) -> None:
+    def configuration_reloaded(self, time: timedelta, applied: bool, error: str) -> None:
         """Record a configuration reload: whether it was applied, and otherwise the error."""
 
 
--- a/bramblestile/wire/agent.py
+++ b/bramblestile/wire/agent.py
@@ -32,23 +32,26 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckResult:
-    """The result of a check. None leaves the earlier value in force; ``share`` is the part of the listed weight."""
+    """The result of a check. None leaves the earlier value in force.
+
+    ``weight_share`` is the part of its listed weight that the host is to have.
+    """
 
     takes_work: bool | None = None
-    share: float | None = None
+    weight_share: float | None = None
 
 
 def parse_agent_line(line: str) -> CheckResult:
     """Parse an agent's line. The last weight counts; unknown words such as ``maxconn:30`` are ignored."""
-    takes_work, share = None, None
+    takes_work, weight_share = None, None
     for word in line.partition("#")[0].replace(",", " ").lower().split():
         if word.endswith("%") and word.isascii() and word[:-1].isdigit():
-            share = min(1.0, int(word[:-1]) / 100)
+            weight_share = min(1.0, int(word[:-1]) / 100)
         elif word in TAKES_WORK and takes_work is not False:
             takes_work = TAKES_WORK[word]  # of 'ready down' the worse state counts
-    if share == 0:
+    if weight_share == 0:
         return CheckResult(False, None)  # a weight of 0 means drain
-    return CheckResult(takes_work, share)
+    return CheckResult(takes_work, weight_share)
 
 
 @dataclass(slots=True, frozen=True)
--- a/bramblestile/wire/checks.py
+++ b/bramblestile/wire/checks.py
@@ -46,7 +46,7 @@
                 # A result takes effect at once, unless the host was down: then it has to succeed several times.
                 if not down or successes >= SUCCESSES_UNTIL_UP:
                     if down and result.takes_work is None:
-                        result = CheckResult(True, result.share)
+                        result = CheckResult(True, result.weight_share)
                     down = False
                     self._on_result(name, result)
             except OSError:
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -224,10 +224,11 @@
         self._triggered.set()
 
     def switch_to(self, discovery: Address) -> None:
-        """Watch another discovery from now on.
+        """Watch the list of another discovery service from now on.
 
-        A request that is waiting at the old one is ended and none follows it. The whole list is requested from the new
-        one at once, because the balancer may be expected to know its news at any moment.
+        A request that is waiting at the old service is aborted and not repeated. The whole list is requested from the
+        new service at once, without a ``trigger``: a change that it has already published must take effect without
+        delay.
         """
         old, self._client = self._client, HttpClient(discovery)
         self._triggered.set()
@@ -240,7 +241,7 @@
             if self._stopped.is_set():
                 return
             client = self._client
-            if client is not self._version_source:  # versions of one discovery mean nothing to another
+            if client is not self._version_source:  # a version is only valid at the service that issued it
                 self._version_source.close()
                 self._version_source, self.version = client, None
             try:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -136,7 +136,7 @@
         elif isinstance(event, api.Note):
             self.builder.note(now, event)
         elif isinstance(event, api.BackendList):
-            self.builder.listed(now, "lines", event)
+            self.builder.host_list_received(now, "lines", event)
         for decision in self.balancer.decisions:
             self.builder.decision(now, decision)
         for action in actions:
@@ -163,7 +163,7 @@
         elif isinstance(action, api.Fail):
             self.record_answer(client, "failed")
         elif isinstance(action, api.Move) and client.host is not None:
-            self.builder.moved(self.clock(), action.id, client.host.name, move_reason(event))
+            self.builder.connection_moved(self.clock(), action.id, client.host.name, move_reason(event))
             self.schedule(2_000, "ended", (client, "cancelled", True))
 
     def record_answer(self, client: Client, outcome: str, host: str | None = None, wait_us: int | None = None) -> None:
@@ -245,7 +245,7 @@
             host.connections += 1
             client.host, client.started_us = host, self.now
             self.record_answer(client, "served", host.name)
-            self.builder.established(self.clock(), request_id, host.name, False)
+            self.builder.connection_established(self.clock(), request_id, host.name, False)
             self.handle(api.Opened(request_id, client.number, host.name, took_us))
             self.schedule(self.random.uniform(2, 20) * 1e6, "ended", (client, "served", False))
             return
@@ -260,7 +260,7 @@
             return
         client.host.connections -= 1
         took = (self.now - client.started_us) * MICROSECOND
-        self.builder.ended(self.clock(), request_id, client.host.name, status, took, moved)
+        self.builder.connection_ended(self.clock(), request_id, client.host.name, status, took, moved)
         self.handle(
             api.Outcome(request_id, client.number, client.host.name, api.Status[status.upper()], 0, finished=True)
         )
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -162,7 +162,7 @@
     original = frames.BlockDecoder.decode
 
     def counting(self: frames.BlockDecoder, frame: frames.Frame, *arguments: Any) -> list[Record]:
-        decoded_blocks.append(frame.number)
+        decoded_blocks.append(frame.block_number)
         return original(self, frame, *arguments)
 
     monkeypatch.setattr(frames.BlockDecoder, "decode", counting)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -274,7 +274,9 @@
         for off in (0, 7_000)
     ]
     estimate = estimate_offset(*reports)
-    assert estimate.method == "links" and estimate.links == {"report": 9} and abs(estimate.offset_us - 7_000) < 100
+    assert (
+        estimate.method == "links" and estimate.link_counts == {"report": 9} and abs(estimate.offset_us - 7_000) < 100
+    )
 
 
 def test_offsets_chain_through_a_third_trace() -> None:
