--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -162,7 +162,7 @@
             record = (
                 local if name == local.name else membership.peers[name].record if name in membership.peers else None
             )
-        if record is not None and membership.name_holder is None:
+        if record is not None and membership.same_name_process is None:
             self._send([((record.host, record.port), Message(Kind.DIRECT, local, payload=payload))])
 
     def publish(self, key: str, value: bytes, ttl: timedelta) -> None:
@@ -175,12 +175,17 @@
         with contextlib.suppress(BlockingIOError):  # the pipe is full, so the thread will wake up anyway
             os.write(self._wake_write, b"x")
 
-    def describe(self) -> dict[str, Any]:
-        """Return this member's view of all members and of itself, for operators."""
+    def operator_view(self) -> dict[str, Any]:
+        """Return this member's view of all members and of itself, for operators.
+
+        ``muted_by`` is the address of another process that has this member's name, because of which this one sends
+        nothing; ``trip_ms`` is the mean round trip, ``late_ms`` how late this member's steps run, and ``news`` the
+        number of updates that are queued for gossip. Each member's ``by`` names those that accuse it.
+        """
         at = now()
         with self._lock:
             membership = self._membership
-            rows = [_row(membership.local, 0, {})] if membership.name_holder is None else []
+            rows = [_row(membership.local, 0, {})] if membership.same_name_process is None else []
             for peer in membership.peers.values():
                 rows.append(
                     _row(
@@ -190,7 +195,11 @@
                     )
                 )
             metrics = {key: membership.entry_table.values_by_owner(key, at) for key in ("traffic",)}
-            health, name_holder, counts = membership.health.score, membership.name_holder, dict(membership.counts)
+            health, same_name_process, counts = (
+                membership.health.score,
+                membership.same_name_process,
+                dict(membership.counts),
+            )
             delays = {
                 "trip_ms": to_milliseconds(membership.round_trips.mean),
                 "trip_bound_ms": to_milliseconds(membership.round_trips.upper_bound),
@@ -203,7 +212,7 @@
                     row[key] = _parse_metric(by_member[row["name"]])
         return {
             "me": membership.local.name,
-            "muted_by": None if name_holder is None else f"{name_holder.host}:{name_holder.port}",
+            "muted_by": None if same_name_process is None else f"{same_name_process.host}:{same_name_process.port}",
             "health": health,
             "counts": counts,
             **delays,
--- a/bramblestile/fleet/membership.py
+++ b/bramblestile/fleet/membership.py
@@ -182,7 +182,7 @@
         self.entry_table = EntryTable()
         self.health = LocalHealth()
         self.changes: list[Change] = []
-        self.name_holder: MemberRecord | None = None  # another process with this name; while set, only listen
+        self.same_name_process: MemberRecord | None = None  # another process with this name; while set, only listen
         self.counts = {"probes": 0, "failed": 0, "accused": 0, "refuted": 0, "late": 0, "refused": 0}
         self.broadcasts = BroadcastQueue()
         self._live_names = _RandomSet()  # of peers
@@ -213,7 +213,7 @@
     def live_members(self) -> list[MemberRecord]:
         """Return the records of all live members, this one included."""
         return [
-            *([self.local] if self.name_holder is None else []),
+            *([self.local] if self.same_name_process is None else []),
             *(self.peers[n].record for n in self._live_names.to_list()),
         ]
 
@@ -237,7 +237,7 @@
     def next_step_at(self) -> timedelta:
         """Return the time at which ``step`` should be called."""
         times = [self._next_digest_at, self._next_reconnect_at, self._next_cleanup_at]
-        if self.name_holder is None:
+        if self.same_name_process is None:
             times += self._sending_times()
         # What a message has just made due could not have been done earlier, and does not make the step late.
         self._planned_step_at = max(min(times), self._last_active_at)
@@ -265,10 +265,10 @@
         self._last_active_at = now
         self._planned_step_at = now + timedelta(days=1)  # until ``next_step_at`` is called
         out: list[Outgoing] = []
-        if self.name_holder is None:
+        if self.same_name_process is None:
             out += self._run_probes(now)
             self._expire_suspicions(now, out)
-        if now >= self._next_gossip_at and len(self.broadcasts) and self.name_holder is None:
+        if now >= self._next_gossip_at and len(self.broadcasts) and self.same_name_process is None:
             self._next_gossip_at = now + max(self.config.gossip_interval, self.lateness * self.config.gossip_backoff)
             out += [
                 (self._address_of(r), self._build_message(Kind.GOSSIP, now=now))
@@ -302,7 +302,7 @@
 
     def leave(self, now: timedelta) -> list[Outgoing]:
         """Announce to several members that this one leaves; they pass it on."""
-        if self.name_holder is not None:
+        if self.same_name_process is not None:
             return []
         self._set_local(msgspec.structs.replace(self.local, state=int(State.LEFT)))
         return [
@@ -409,9 +409,9 @@
             self.health.adjust(1)
         if peer is None or not peer.is_live:
             return
-        self._accuse(peer, self.local.name, now, own=True)
+        self._accuse(peer, self.local.name, now, first_hand=True)
 
-    def _accuse(self, peer: Peer, accuser: str, now: timedelta, own: bool = False) -> bool:
+    def _accuse(self, peer: Peer, accuser: str, now: timedelta, first_hand: bool = False) -> bool:
         """Record that ``accuser`` could not reach the peer; return True if that is new."""
         if peer.suspicion is None:
             others = self.size - 2  # members that could confirm it
@@ -448,7 +448,7 @@
         live = {self._address_of(r) for r in self.live_members()} | {(self.local.host, self.local.port)}
         dead = [p.record for p in self.peers.values() if p.state is State.DEAD]
         out: list[Outgoing] = []
-        if dead and self.name_holder is None:
+        if dead and self.same_name_process is None:
             record = self.random.choice(dead)
             out.append(
                 (
@@ -457,7 +457,7 @@
                 )
             )
         seeds = [s for s in self.seeds if s not in live]
-        if seeds and self.name_holder is None:
+        if seeds and self.same_name_process is None:
             out.append((self.random.choice(seeds), self._build_message(Kind.PING, self._next_sequence(), now=now)))
         return out
 
@@ -481,7 +481,7 @@
             elif self.entry_table.merge(entry, now):
                 new_items += 1
                 self.broadcasts.add(entry)
-        if self.name_holder is not None and message.kind != Kind.PAGE:
+        if self.same_name_process is not None and message.kind != Kind.BUCKETS:
             return []
         match message.kind:
             case Kind.PING:
@@ -502,8 +502,8 @@
                 return self._on_ping_request(message, source, now)
             case Kind.DIGEST:
                 return self._on_digest(message, source, now)
-            case Kind.PAGE:
-                return self._on_page(message, source, new_items, now)
+            case Kind.BUCKETS:
+                return self._on_bucket_contents(message, source, new_items, now)
         return []
 
     def _on_ack(self, message: Message, now: timedelta) -> list[Outgoing]:
@@ -630,21 +630,22 @@
         stops sending.
         """
         if record.epoch < self.local.epoch:
-            if self.name_holder is not None and record.epoch == self.name_holder.epoch:
-                self.name_holder = None
+            if self.same_name_process is not None and record.epoch == self.same_name_process.epoch:
+                self.same_name_process = None
             return False
         if (record.host, record.port) == (self.local.host, self.local.port) or record.state in (State.DEAD, State.LEFT):
-            self.name_holder = None
+            self.same_name_process = None
             self._set_local(msgspec.structs.replace(self.local, epoch=record.epoch + 1, incarnation=0))
             return True
-        if self.name_holder is None or self.name_holder.epoch < record.epoch:
-            self.name_holder = record
+        if self.same_name_process is None or self.same_name_process.epoch < record.epoch:
+            self.same_name_process = record
             self._probes.clear()
             self._indirect_probes.clear()
             return True
         return False
 
-    # Anti-entropy: digests and pages repair what gossip has missed.
+    # Anti-entropy repairs what gossip has missed: members compare digests of their buckets, and send each other the
+    # contents of those that differ (Kind.BUCKETS).
 
     def _send_digest(self, now: timedelta) -> list[Outgoing]:
         live = self._random_live(1)
@@ -680,16 +681,16 @@
         self.broadcasts.add(local)
 
     def _on_digest(self, message: Message, source: Address, now: timedelta) -> list[Outgoing]:
-        own, received = self._encode_digest(), message.digest
-        if len(received) != len(own):
+        local_digest, received = self._encode_digest(), message.digest
+        if len(received) != len(local_digest):
             return []
-        differing = [b for b in range(DIGEST_BUCKETS) if own[b * 4 : b * 4 + 4] != received[b * 4 : b * 4 + 4]]
+        differing = [b for b in range(DIGEST_BUCKETS) if local_digest[b * 4 : b * 4 + 4] != received[b * 4 : b * 4 + 4]]
         if not differing:
             return []
         self.random.shuffle(differing)
-        return [(source, self._build_page(differing, request=True, now=now))]
+        return [(source, self._build_bucket_contents(differing, request=True, now=now))]
 
-    def _build_page(self, buckets: list[int], request: bool, now: timedelta) -> Message:
+    def _build_bucket_contents(self, buckets: list[int], request: bool, now: timedelta) -> Message:
         """Return a message with the content of as many buckets as fit.
 
         With ``request`` it names these buckets, so that the receiver sends its own content of them.
@@ -714,8 +715,8 @@
             if free_bytes < 100 or len(included) >= DIGEST_BUCKETS // 2 or len(records) + 8 > MAX_RECORDS_PER_MESSAGE:
                 break
         return Message(
-            Kind.PAGE,
-            self.local if self.name_holder is None else None,
+            Kind.BUCKETS,
+            self.local if self.same_name_process is None else None,
             records=tuple(records[:MAX_RECORDS_PER_MESSAGE]),
             entries=tuple(entries[:MAX_RECORDS_PER_MESSAGE]),
             requested_buckets=bytes(included) if request else b"",
@@ -724,16 +725,21 @@
     def _records_in_bucket(self, bucket: int) -> list[MemberRecord]:
         names = sorted(self._names_by_bucket[bucket])
         self.random.shuffle(names)  # if they do not all fit into one message, the next one holds others
-        own = [self.local] if self.name_holder is None and bucket_of(self.local.name) == bucket else []
-        return [*own, *(self.peers[name].record for name in names)]
+        local = [self.local] if self.same_name_process is None and bucket_of(self.local.name) == bucket else []
+        return [*local, *(self.peers[name].record for name in names)]
 
-    def _on_page(self, message: Message, source: Address, new_items: int, now: timedelta) -> list[Outgoing]:
+    def _on_bucket_contents(self, message: Message, source: Address, new_items: int, now: timedelta) -> list[Outgoing]:
+        """Handle the contents of buckets, already merged: send those that the message requests in return.
+
+        Where they held something new, compare digests again soon. A member that only listens, because another process
+        has its name, sends nothing.
+        """
         out: list[Outgoing] = []
-        if message.requested_buckets and self.name_holder is None:
+        if message.requested_buckets and self.same_name_process is None:
             out.append(
                 (
                     source,
-                    self._build_page(
+                    self._build_bucket_contents(
                         [b for b in dict.fromkeys(message.requested_buckets) if b < DIGEST_BUCKETS],
                         request=False,
                         now=now,
@@ -758,7 +764,7 @@
         now: timedelta,
     ) -> Message:
         """Return a message with as many queued updates as fit."""
-        local = self.local if self.name_holder is None else None
+        local = self.local if self.same_name_process is None else None
         if not with_updates or local is None or not len(self.broadcasts):
             return Message(kind, local, sequence, subject, records, (), digest)
         used = self._header_bytes() + sum(len(to_msgpack(r)) for r in (*records, *([subject] if subject else [])))
--- a/bramblestile/fleet/messages.py
+++ b/bramblestile/fleet/messages.py
@@ -36,7 +36,7 @@
     NACK = "n"  # answers a ping request: the target was pinged for you and has not answered yet
     PING_REQUEST = "r"  # indirect probe: ping ``subject`` for the sender
     DIGEST = "d"
-    PAGE = "s"  # anti-entropy: records and entries of the buckets that differ; may request the receiver's in return
+    BUCKETS = "s"  # anti-entropy: records and entries of the buckets that differ; may request the receiver's in return
     GOSSIP = "g"
     DIRECT = "l"  # a payload of another component, for this member only
 
--- a/bramblestile/lab/datagram_proxy.py
+++ b/bramblestile/lab/datagram_proxy.py
@@ -1,8 +1,8 @@
 """A UDP proxy that applies link faults to the datagrams between processes.
 
-Processes know each other by addresses of the proxy, which forwards to their own. A datagram from A to B arrives, from
-A's own address, at the proxy's socket for B, and leaves by the proxy's socket for A, so that the proxy is transparent
-to the processes. One thread forwards all datagrams.
+Processes know each other by public addresses, which are sockets of the proxy; it forwards to the real addresses of the
+processes. A datagram from A to B arrives, from A's real address, at the proxy's socket for B, and leaves by the proxy's
+socket for A, so that the proxy is transparent to the processes. One thread forwards all datagrams.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         self.links = links
         self.forwarded = self.dropped = self.forwarded_bytes = 0
         self._names: dict[Address, str] = {}
-        self._own_addresses: dict[str, Address] = {}
+        self._real_addresses: dict[str, Address] = {}
         self._endpoints: dict[int, tuple[str, socket.socket]] = {}  # by file descriptor
         self._sockets: dict[str, socket.socket] = {}
         self._delayed: list[tuple[float, int, str, str, bytes]] = []  # a heap, by the time of delivery
@@ -45,13 +45,13 @@
         self._thread = threading.Thread(target=self._run, name="switch", daemon=True)
         self._thread.start()
 
-    def add_endpoint(self, name: str, own_address: Address, public_address: Address) -> None:
-        """Forward what arrives at the public address, which the proxy binds, to the process's own address."""
+    def add_endpoint(self, name: str, real_address: Address, public_address: Address) -> None:
+        """Forward what arrives at the public address, which the proxy binds, to the process's real address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind(public_address)
         sock.setblocking(False)
-        self._names[own_address], self._own_addresses[name], self._sockets[name] = name, own_address, sock
+        self._names[real_address], self._real_addresses[name], self._sockets[name] = name, real_address, sock
         self._endpoints[sock.fileno()] = name, sock
         self._poll.register(sock, select.EPOLLIN)
 
@@ -96,10 +96,11 @@
                 )
 
     def _forward(self, source: str, target: str, datagram: bytes) -> None:
-        # A datagram from an unknown source leaves by the target's own public socket.
+        # Sent from the source's public socket, so that the target sees the address that it knows the source by. An
+        # unknown source has none; any socket of the proxy does for it, so the target's is taken.
         sock = self._sockets.get(source) or self._sockets[target]
         try:
-            sock.sendto(datagram, self._own_addresses[target])
+            sock.sendto(datagram, self._real_addresses[target])
             self.forwarded += 1
             self.forwarded_bytes += len(datagram)
         except OSError:
--- a/bramblestile/lab/harness.py
+++ b/bramblestile/lab/harness.py
@@ -29,7 +29,7 @@
 SERVICE_PORT, MANAGEMENT_PORT, GOSSIP_PORT = 7000, 7001, 7002
 SERVER_PORT, LIST_PORT = 8000, 8500
 FIRST_OCTET, OCTET_COUNT = 64, 160  # second octets of harnesses: 127.64 to 127.223
-OWN_GROUP, PROXY_GROUP, LINK_GROUP = 0, 64, 128  # lowest third octet of the balancers' addresses, by use
+REAL_GROUP, PROXY_GROUP, LINK_GROUP = 0, 64, 128  # lowest third octet of the balancers' addresses, by use
 ADDRESSES_PER_OCTET = 250
 SEED_MEMBERS = 3  # of the gossip, the first ones
 MAX_CONCURRENT_STARTS = 12
@@ -116,7 +116,7 @@
         self.datagram_proxy = DatagramProxy(self.links)
         self._log_reader = LogReader(self.event_log)
         self.names = [f"b{n:03}" for n in range(balancers)]
-        self._number = {name: n for n, name in enumerate(self.names)}
+        self._process_index = {name: n for n, name in enumerate(self.names)}
         self.voters = [f"b{n:03}" for n in range(voters)]
         self.stand_ins: StandIns | None = None
         self._link_addresses: dict[str, str] = {}
@@ -132,7 +132,7 @@
             ]
             link_addresses = {
                 name: f"127.{self._octet}.{LINK_GROUP + n // ADDRESSES_PER_OCTET}.{n % ADDRESSES_PER_OCTET + 1}"
-                for name, n in self._number.items()
+                for name, n in self._process_index.items()
             }
             self._link_addresses = link_addresses if stream_faults else {}
             self.stand_ins = StandIns(
@@ -143,7 +143,7 @@
                 links=self.links,
                 link_addresses=self._link_addresses,
             )
-            self.stand_ins.balancer_names = {self.address(name, OWN_GROUP, SERVICE_PORT): name for name in self.names}
+            self.stand_ins.balancer_names = {self.address(name, REAL_GROUP, SERVICE_PORT): name for name in self.names}
             self.stand_ins.active_balancers = self._active_balancers
             hosts = self.stand_ins.list_entries()
         self.hosts = list(hosts) or [{"host": "s-0", "dial": f"127.{self._octet}.254.1:9", "health": "in_service"}]
@@ -158,26 +158,26 @@
     def address(self, name: str, group: int, port: int) -> Address:
         """Return an address of a balancer.
 
-        ``group`` is 0 for the process's own addresses, and 64 for those of the datagram proxy by which the other
+        ``group`` is 0 for the process's real addresses, and 64 for those of the datagram proxy by which the other
         processes know it.
         """
-        number = self._number[name]
-        return f"127.{self._octet}.{group + number // ADDRESSES_PER_OCTET}.{number % ADDRESSES_PER_OCTET + 1}", port
+        index = self._process_index[name]
+        return f"127.{self._octet}.{group + index // ADDRESSES_PER_OCTET}.{index % ADDRESSES_PER_OCTET + 1}", port
 
     def _config(self, name: str) -> dict[str, Any]:
-        listen = self.address(name, OWN_GROUP, GOSSIP_PORT)
+        listen = self.address(name, REAL_GROUP, GOSSIP_PORT)
         advertised = self.address(name, PROXY_GROUP, GOSSIP_PORT)
-        hall = f"hall-{self._number[name] % self._halls}"
+        hall = f"hall-{self._process_index[name] % self._halls}"
         config: dict[str, Any] = {
             "name": name,
-            "listen": "{}:{}".format(*self.address(name, OWN_GROUP, SERVICE_PORT)),
-            "management": "{}:{}".format(*self.address(name, OWN_GROUP, MANAGEMENT_PORT)),
+            "listen": "{}:{}".format(*self.address(name, REAL_GROUP, SERVICE_PORT)),
+            "management": "{}:{}".format(*self.address(name, REAL_GROUP, MANAGEMENT_PORT)),
             "settings": self._settings | {"zone": hall},
             "known": {
                 "seq": 1,
                 "hosts": self.stand_ins.list_entries(name) if self._link_addresses and self.stand_ins else self.hosts,
             },
-            "seed": f"{self._number[name] + 1:x}",
+            "seed": f"{self._process_index[name] + 1:x}",
         }
         if self._fleet is not None:
             seeds = ["{}:{}".format(*self.address(n, PROXY_GROUP, GOSSIP_PORT)) for n in self.names[:SEED_MEMBERS]]
@@ -200,7 +200,7 @@
     def _active_balancers(self) -> list[Address]:
         """Return the balancers that run and are not paused; a front-end load balancer would soon avoid the others."""
         return [
-            self.address(name, OWN_GROUP, SERVICE_PORT)
+            self.address(name, REAL_GROUP, SERVICE_PORT)
             for name, process in self.processes.items()
             if process.is_serving
         ]
@@ -266,7 +266,7 @@
     def call(self, name: str, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0) -> tuple[int, str]:
         """Call a balancer's management API; return the HTTP status and the body, or 0 and the error without answer."""
         try:
-            with socket.create_connection(self.address(name, OWN_GROUP, MANAGEMENT_PORT), timeout_s) as sock:
+            with socket.create_connection(self.address(name, REAL_GROUP, MANAGEMENT_PORT), timeout_s) as sock:
                 sock.settimeout(timeout_s)
                 sock.sendall(
                     f"{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -122,7 +122,7 @@
 
     # Time.
 
-    def after(self, delay: timedelta, callback: Callable[[], None]) -> None:
+    def schedule(self, delay: timedelta, callback: Callable[[], None]) -> None:
         """Call ``callback`` when ``delay`` has passed in simulated time."""
         self._count += 1
         heapq.heappush(self._events, (self.now + delay, self._count, callback))
@@ -196,7 +196,7 @@
         """Suspend a process for a while; its messages wait."""
         process = self.processes[name]
         process.paused = True
-        self.after(duration, lambda: self._wake(process))
+        self.schedule(duration, lambda: self._wake(process))
 
     def _wake(self, process: Process) -> None:
         process.paused = False
@@ -206,7 +206,7 @@
             return
         if not process.paused:
             self._step(process)
-        self.after(STEP * self.random.uniform(0.6, 1.4), lambda: self._tick(process))
+        self.schedule(STEP * self.random.uniform(0.6, 1.4), lambda: self._tick(process))
 
     def _step(self, process: Process) -> None:
         received, process.inbox = process.inbox, []
@@ -247,7 +247,7 @@
             if target.running and len(target.inbox) < 200:
                 target.inbox.append((sender, message))
 
-        self.after(delay, arrive)
+        self.schedule(delay, arrive)
 
     def _handle(self, process: Process, sender: str, message: AnyMessage) -> None:
         local_time = self.clock(process)
@@ -331,7 +331,7 @@
             if process.running and process.scheduler is not None and process.scheduler.term == term:
                 process.scheduler.finished.add(name)
 
-        self.after(SECOND * self.random.uniform(0.2, 2), finish)
+        self.schedule(SECOND * self.random.uniform(0.2, 2), finish)
 
     def _candidates(
         self, process: Process, targets_balancers: bool, plan: PlanState, local_time: timedelta
@@ -474,8 +474,14 @@
         random = self.random
         self.run(4 * SECOND, until=lambda: self.leader() is not None)
         self.run(2 * SECOND)  # until the balancers are in the roster
-        limits = Limits(random.choice((1, 2, 3)), random.choice((0.5, 0.7)), random.random() < 0.5)
+        limits = Limits(
+            max_out=random.choice((1, 2, 3)),
+            min_capacity=random.choice((0.5, 0.7)),
+            single_hall=random.random() < 0.5,
+        )
         self.loss_rate = random.choice((0.0, 0.05))
+        # A quarter of the plans restart balancers instead of machines. That is drawn from another generator, so that it
+        # does not change the random values of the rest of the run.
         restart_balancers = Random(f"kind {self.seed}").random() < 0.25 and len(self.voters) >= 3
         for _ in range(20):  # refused while some of its balancers are not in the roster
             with suppress(PlanError):
@@ -551,7 +557,7 @@
         match kind:
             case "kill":
                 self.kill(name)
-                self.after(duration, lambda: self.restart(name))
+                self.schedule(duration, lambda: self.restart(name))
             case "restart":
                 self.restart(name)
             case "pause" if process.running:
@@ -572,7 +578,7 @@
             case "machine":
                 machine = random.choice(list(self.machines.values()))
                 machine.up = False
-                self.after(duration, lambda: self._recover(machine))
+                self.schedule(duration, lambda: self._recover(machine))
             case "all voters":
                 for voter in self.voters:
                     self.restart(voter)
@@ -583,4 +589,4 @@
     def _drop(self, key: str, duration: timedelta, rule: Callable[[str, str], bool]) -> None:
         """Lose the messages that match ``rule`` for a while."""
         self.drop_rules[key] = rule
-        self.after(duration, lambda: self.drop_rules.pop(key, None) and None)
+        self.schedule(duration, lambda: self.drop_rules.pop(key, None) and None)
--- a/bramblestile/lab/membership_simulation.py
+++ b/bramblestile/lab/membership_simulation.py
@@ -114,13 +114,13 @@
         """Suspend a member's process for a while."""
         process = self.by_name[name]
         process.paused = True
-        self.after(duration, lambda: self._wake(process))
+        self.schedule(duration, lambda: self._wake(process))
 
     def _wake(self, process: Process) -> None:
         process.paused = False
         self._step(process)
 
-    def after(self, delay: timedelta, callback: Callable[[], None]) -> None:
+    def schedule(self, delay: timedelta, callback: Callable[[], None]) -> None:
         """Call ``callback`` when ``delay`` has passed in simulated time."""
         self._count += 1
         heapq.heappush(self._events, (self.now + delay, self._count, callback))
@@ -150,7 +150,7 @@
         if process.planned_at is not None and process.planned_at <= next_step_at and process.planned_at > self.now:
             return
         process.planned_at = next_step_at
-        self.after(next_step_at - self.now, lambda: self._planned_step(process, next_step_at))
+        self.schedule(next_step_at - self.now, lambda: self._planned_step(process, next_step_at))
 
     def _planned_step(self, process: Process, due: timedelta) -> None:
         if process.planned_at == due:
@@ -203,7 +203,7 @@
                 target.inbox.append((source, message))
                 self._step(target)
 
-        self.after(delay, arrive)
+        self.schedule(delay, arrive)
 
     # Queries.
 
@@ -236,6 +236,6 @@
 
         return check
 
-    def until(self, condition: Callable[[], bool], timeout: timedelta) -> timedelta:
-        """Advance simulated time until a condition holds, ``timeout`` at most; return how long it took."""
+    def run_until(self, condition: Callable[[], bool], timeout: timedelta) -> timedelta:
+        """Run until a condition holds, ``timeout`` at most; return the simulated time that passed."""
         return self.run(timeout, until=self._throttled(condition))
--- a/bramblestile/lab/processes.py
+++ b/bramblestile/lab/processes.py
@@ -76,11 +76,11 @@
         """Whether the process runs and is not paused."""
         return self.is_running and not self.paused
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
         """Send a signal, if the process runs."""
         if self.process is not None and self.process.poll() is None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     def pause(self) -> None:
         """Stop the process with SIGSTOP until ``resume``."""
--- a/bramblestile/lab/random_faults.py
+++ b/bramblestile/lab/random_faults.py
@@ -45,7 +45,7 @@
         for name in self.names:
             simulation.start(name, seeds=self.names[:3])
         simulation.watch = self._check
-        if simulation.until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
+        if simulation.run_until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
             raise InvariantError("the members did not find each other")
         simulation.network.loss_rate = self.random.choice((0.0, 0.02, 0.05))
         simulation.network.duplication_rate = self.random.choice((0.0, 0.05))
@@ -57,7 +57,7 @@
         simulation.network.loss_rate = 0.0
         for process in simulation.live_processes():
             process.cpu_share = 1.0
-        if simulation.until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
+        if simulation.run_until(simulation.has_converged, RECOVERY_TIMEOUT) >= RECOVERY_TIMEOUT:
             views = {p.name: len(p.membership.live_members()) for p in simulation.live_processes()}
             raise InvariantError(
                 f"no agreement {RECOVERY_TIMEOUT} after the faults: {len(simulation.live_processes())} run, "
@@ -90,11 +90,11 @@
             case "restart":
                 self._mark_disturbed([name], SECOND)
                 simulation.kill(name)
-                simulation.after(SECOND * random.random(), lambda: self._restart(name))
+                simulation.schedule(SECOND * random.random(), lambda: self._restart(name))
             case "starve":
                 self._mark_disturbed([name], 10 * SECOND)
                 simulation.by_name[name].cpu_share = 0.1
-                simulation.after(10 * SECOND, lambda: setattr(simulation.by_name[name], "cpu_share", 1.0))
+                simulation.schedule(10 * SECOND, lambda: setattr(simulation.by_name[name], "cpu_share", 1.0))
             case "split":
                 half = set(random.sample(running, len(running) // 2))
                 self._drop(kind, running, duration, lambda a, b: (a in half) != (b in half))
@@ -105,7 +105,7 @@
             case "loss":
                 self._mark_disturbed(running, duration)
                 before, simulation.network.loss_rate = simulation.network.loss_rate, 0.3
-                simulation.after(duration, lambda: setattr(simulation.network, "loss_rate", before))
+                simulation.schedule(duration, lambda: setattr(simulation.network, "loss_rate", before))
             case "join":
                 self.names.append(f"x{len(self.names):03}")
                 self._mark_disturbed([self.names[-1]], SECOND)
@@ -116,7 +116,7 @@
         self._mark_disturbed(names, duration)
         key = f"{kind} {self.simulation.now}"
         self.simulation.network.drop_rules[key] = rule
-        self.simulation.after(duration, lambda: self.simulation.network.drop_rules.pop(key, None) and None)
+        self.simulation.schedule(duration, lambda: self.simulation.network.drop_rules.pop(key, None) and None)
 
     def _restart(self, name: str) -> None:
         self._mark_disturbed([name], SECOND)
--- a/bramblestile/lab/script.py
+++ b/bramblestile/lab/script.py
@@ -163,8 +163,8 @@
     )
 
 
-def _step(number: int, step: Any) -> Step:
-    prefix = f"step {number}."
+def _step(step_number: int, step: Any) -> Step:
+    prefix = f"step {step_number}."
     if not isinstance(step, dict):
         raise ScriptError(f"{prefix}: not a table")
     _check_keys(prefix, step, "at_s", "when", "do", "who", "for_s", "value")
--- a/bramblestile/lab/stand_ins.py
+++ b/bramblestile/lab/stand_ins.py
@@ -48,7 +48,7 @@
         address: Where it listens.
         hall: Hall in which it stands.
         slots: Number of connections that fill it when it is warm.
-        cold_from: Share of the slots that it has right after its start.
+        initial_capacity_share: Share of the slots that it has right after its start.
         cold_s: Seconds from its start until it is warm; the slots grow linearly.
         fall_multiple: Load above which it is overloaded.
         fall_s: Seconds of continuous overload after which it crashes.
@@ -70,7 +70,7 @@
     address: Address
     hall: str
     slots: int = 12
-    cold_from: float = 0.2
+    initial_capacity_share: float = 0.2
     cold_s: float = 10.0
     fall_multiple: float = 4.0
     fall_s: float = 3.0
@@ -88,11 +88,15 @@
     request_times: list[float] = field(default_factory=list)
 
     def capacity(self) -> float:
-        """Return the number of slots that it has now, fewer than ``slots`` while it is cold."""
+        """Return the number of slots that it has now: they grow linearly to ``slots`` in ``cold_s`` from its start."""
         warm_share = (
             1.0
             if not self.started_at
-            else min(1.0, self.cold_from + (1 - self.cold_from) * (time.time() - self.started_at) / self.cold_s)
+            else min(
+                1.0,
+                self.initial_capacity_share
+                + (1 - self.initial_capacity_share) * (time.time() - self.started_at) / self.cold_s,
+            )
         )
         return self.slots * warm_share
 
@@ -106,7 +110,7 @@
     """A stand-in client and what happened to it.
 
     Attributes:
-        number: Its number, from 0.
+        index: Its index, from 0; also its key in requests.
         hall: Hall in which it is.
         moves: How often it was sent to another server.
         refused: How often a balancer answered BUSY.
@@ -119,7 +123,7 @@
         host: Name of the last server to which it was connected.
     """
 
-    number: int
+    index: int
     hall: str
     moves: int = 0
     refused: int = 0
@@ -455,20 +459,20 @@
 
     async def _run_client(self, client: Client, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
-        is_return = False
+        is_reconnect = False
         while True:
             balancers = [balancer for balancer in self.active_balancers() if balancer not in self.unhealthy_balancers]
             backoff_s = self._random.uniform(*BACKOFF_RANGE_S)
             if balancers:
-                outcome, retry_after_s = await self._connect(client, self._random.choice(balancers), is_return)
+                outcome, retry_after_s = await self._connect(client, self._random.choice(balancers), is_reconnect)
                 if outcome in ("moved", "cut"):
-                    is_return = True
+                    is_reconnect = True
                     client.backoff_s += backoff_s
                 elif retry_after_s is not None:
                     backoff_s = retry_after_s
             await asyncio.sleep(backoff_s)
 
-    async def _connect(self, client: Client, balancer: Address, is_return: bool) -> tuple[str, float | None]:
+    async def _connect(self, client: Client, balancer: Address, is_reconnect: bool) -> tuple[str, float | None]:
         """Open a connection and keep it until it ends.
 
         Returns how it ended, and the seconds after which the balancer wants to be asked again, if it said so.
@@ -483,8 +487,8 @@
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*balancer), CLIENT_TIMEOUT_S)
             request_id = f"{self._random.getrandbits(64):016x}"
             writer.write(
-                f"OPEN {request_id} {client.number:x} c=preview,t=vestland,d={CLIENT_TIMEOUT_S * 1000:.0f},"
-                f"g={client.number % CLIENT_GROUPS:x}{',again=1' if is_return else ''}\r\n".encode()
+                f"OPEN {request_id} {client.index:x} c=preview,t=vestland,d={CLIENT_TIMEOUT_S * 1000:.0f},"
+                f"g={client.index % CLIENT_GROUPS:x}{',again=1' if is_reconnect else ''}\r\n".encode()
             )
             line = (await asyncio.wait_for(reader.readline(), CLIENT_TIMEOUT_S + RESPONSE_GRACE_S)).split()
             if line[:1] != [b"UP"]:
@@ -504,10 +508,10 @@
     def _handle_rejection(self, client: Client, line: list[bytes]) -> tuple[str, float | None]:
         if line[:1] == [b"BUSY"]:
             client.refused += 1
-            self.event_log.add("refused", client=client.number, hint=line[1].decode() if len(line) > 1 else "")
+            self.event_log.add("refused", client=client.index, hint=line[1].decode() if len(line) > 1 else "")
             return "refused", int(line[1]) / 1000 if len(line) > 1 else None
         client.failed += 1
-        self.event_log.add("not served", client=client.number, line=b" ".join(line).decode("utf-8", "replace"))
+        self.event_log.add("not served", client=client.index, line=b" ".join(line).decode("utf-8", "replace"))
         return "failed", None
 
     def _mark_connected(self, client: Client, server: str) -> None:
@@ -522,7 +526,7 @@
             try:
                 line = await asyncio.wait_for(reader.readline(), CLIENT_SEND_INTERVAL_S)
             except TimeoutError:
-                writer.write(b"hello %d\r\n" % client.number)
+                writer.write(b"hello %d\r\n" % client.index)
                 continue
             if not line or line.startswith(b"MOVE"):
                 return self._mark_disconnected(client, "moved" if line else "cut")
@@ -531,7 +535,7 @@
         client.connected, client.down_since = False, time.time()
         client.moves += outcome == "moved"
         client.cuts += outcome == "cut"
-        self.event_log.add(outcome, client=client.number, host=client.host)
+        self.event_log.add(outcome, client=client.index, host=client.host)
         return outcome
 
     def client_totals(self) -> dict[str, float]:
--- a/bramblestile/process/daemon.py
+++ b/bramblestile/process/daemon.py
@@ -595,7 +595,7 @@
 
     def fleet_view(self) -> str | None:
         """Return the fleet as this member sees it, as JSON; None without a fleet."""
-        return None if self.gossip is None else json.dumps(self.gossip.describe())
+        return None if self.gossip is None else json.dumps(self.gossip.operator_view())
 
     def health_report(self) -> agent.Health:
         """Return what health checks report of this balancer."""
--- a/bramblestile/store/replica.py
+++ b/bramblestile/store/replica.py
@@ -21,6 +21,11 @@
 from bramblestile.clock import MICROSECOND
 from bramblestile.store.journal import Entry, Journal
 
+# The kinds of messages: the values are sent, the names are those of Raft.
+PRE_VOTE_REQUEST, VOTE_REQUEST, VOTE_RESPONSE = "would", "ask", "vote"
+APPEND_REQUEST, APPEND_RESPONSE = "append", "appended"
+INSTALL_REQUEST, INSTALL_RESPONSE = "install", "installed"
+TIMEOUT_NOW = "now"  # makes the receiver start an election at once
 HEARTBEAT_INTERVAL = timedelta(milliseconds=100)
 ELECTION_TIMEOUT = timedelta(milliseconds=400)  # minimum; each timeout is drawn from one to two times this
 MAX_CLOCK_DRIFT = 0.05  # relative, over an election timeout; a quartz clock drifts by a thousandth of it
@@ -34,25 +39,23 @@
 class Message:
     """One message between peers; which fields are used depends on ``kind``.
 
-    Field names and kinds are sent as they are. The kinds, with the names that Raft gives them:
-
-    - ``would``: pre-vote request; ``ask``: RequestVote; ``vote``: the response to both
-    - ``append``: AppendEntries; ``appended``: its response
-    - ``install``: InstallSnapshot, one chunk; ``installed``: its response
-    - ``now``: TimeoutNow, which makes the receiver start an election at once
+    Field names and kinds are sent as they are. A vote response answers both kinds of vote requests. An install request
+    carries one chunk of a snapshot.
     """
 
     kind: str
     term: int
     sender: str
-    # The candidate's last entry (would, ask), the entry before these (append), the last one that agrees (appended), or
-    # the last one in the snapshot (install, installed).
+    # In a vote request the candidate's last entry; in an append request the entry before these; in its response the
+    # last one that agrees; in an install request and its response the last one in the snapshot.
     index: int = 0
     index_term: int = 0
-    # Success; the last chunk (install); the leader has transferred leadership and has no lease any more (ask).
+    # In a response: success. In an install request: this is the last chunk. In a vote request: the leader has
+    # transferred leadership to the candidate and has no lease any more.
     granted: bool = False
     entries: tuple[Entry, ...] = ()
-    # The commit index (append), an offset in the snapshot's text (install, installed), or 1 for a pre-vote (vote).
+    # The commit index in an append request, an offset in the snapshot's text in an install request and its response, or
+    # 1 in the response to a pre-vote request.
     commit: int = 0
     stamp: int = 0  # the leader's time of sending in microseconds, returned in the response
     chunk: str = ""  # of a snapshot's text
@@ -190,7 +193,9 @@
         if self._is_majority(1):
             return self._start_election(now)
         index, index_term = self._last_index_and_term()
-        return [(peer, Message("would", self.term + 1, self.name, index, index_term)) for peer in self.other_peers]
+        return [
+            (peer, Message(PRE_VOTE_REQUEST, self.term + 1, self.name, index, index_term)) for peer in self.other_peers
+        ]
 
     def transfer_leadership(self, now: timedelta) -> Outbox:
         """Step down and make a peer with the complete log start an election at once.
@@ -209,7 +214,7 @@
             return []
         peer = max(ready, key=lambda name: self.last_acked[name])
         self._become_follower("", now)
-        return [(peer, Message("now", self.term, self.name))]
+        return [(peer, Message(TIMEOUT_NOW, self.term, self.name))]
 
     def _start_election(self, now: timedelta, transferred: bool = False) -> Outbox:
         if not self._save_vote(self.term + 1, self.name):
@@ -220,7 +225,8 @@
             return self._become_leader(now)
         index, index_term = self._last_index_and_term()
         return [
-            (peer, Message("ask", self.term, self.name, index, index_term, transferred)) for peer in self.other_peers
+            (peer, Message(VOTE_REQUEST, self.term, self.name, index, index_term, transferred))
+            for peer in self.other_peers
         ]
 
     def _become_leader(self, now: timedelta) -> Outbox:
@@ -251,7 +257,7 @@
                 break
             entries.append(entry)
         return Message(
-            "append",
+            APPEND_REQUEST,
             self.term,
             self.name,
             prev_index,
@@ -270,7 +276,7 @@
         text = json.dumps(self.journal.values, sort_keys=True)
         chunk = text[offset : offset + self.max_batch_bytes // 2]  # a non-ASCII character is escaped to six
         return Message(
-            "install",
+            INSTALL_REQUEST,
             self.term,
             self.name,
             index,
@@ -313,27 +319,30 @@
         """Handle a message from a peer; messages from others are ignored."""
         if message.sender not in self.other_peers or self.journal.failed:
             return []
-        transferred = message.kind == "ask" and message.granted
+        # In a vote request, granted means that the leader has transferred its leadership to the candidate.
+        transferred = message.kind == VOTE_REQUEST and message.granted
         if (
-            message.kind in ("would", "ask")
+            message.kind in (PRE_VOTE_REQUEST, VOTE_REQUEST)
             and not transferred
             and now < self._leader_contact_at + self.election_timeout
         ):
-            return []  # a leader's lease counts on this peer, and a candidate that is cut off must not depose it
-        if message.kind == "would":
+            # No vote within the election timeout of a leader's message: the leader's lease relies on that, and a
+            # candidate that cannot reach the leader must not depose it.
+            return []
+        if message.kind == PRE_VOTE_REQUEST:
             return self._on_pre_vote_request(message)
-        if message.term > self.term and message.kind != "vote":
+        if message.term > self.term and message.kind != VOTE_RESPONSE:
             if not self._save_vote(message.term, ""):
                 return []
             self._become_follower("", now)
         handlers = {
-            "ask": self._on_vote_request,
-            "vote": self._on_vote_response,
-            "append": self._on_append,
-            "appended": self._on_append_response,
-            "install": self._on_install,
-            "installed": self._on_install_response,
-            "now": self._on_timeout_now,
+            VOTE_REQUEST: self._on_vote_request,
+            VOTE_RESPONSE: self._on_vote_response,
+            APPEND_REQUEST: self._on_append,
+            APPEND_RESPONSE: self._on_append_response,
+            INSTALL_REQUEST: self._on_install,
+            INSTALL_RESPONSE: self._on_install_response,
+            TIMEOUT_NOW: self._on_timeout_now,
         }
         handler = handlers.get(message.kind)
         return handler(message, now) if handler is not None else []
@@ -344,8 +353,9 @@
         return (message.index_term, message.index) >= (index_term, index)
 
     def _on_pre_vote_request(self, message: Message) -> Outbox:
+        """Answer whether this peer would vote for the sender; ``commit`` is 1 to tell it from a real vote."""
         granted = message.term > self.term and self._is_log_up_to_date(message) and self.role != "leader"
-        return [(message.sender, Message("vote", message.term, self.name, granted=granted, commit=1))]
+        return [(message.sender, Message(VOTE_RESPONSE, message.term, self.name, granted=granted, commit=1))]
 
     def _on_vote_request(self, message: Message, now: timedelta) -> Outbox:
         granted = (
@@ -357,7 +367,7 @@
             if not self._save_vote(self.term, message.sender):
                 return []
             self.timer_at = now + self._random_election_timeout()
-        return [(message.sender, Message("vote", self.term, self.name, granted=granted))]
+        return [(message.sender, Message(VOTE_RESPONSE, self.term, self.name, granted=granted))]
 
     def _on_timeout_now(self, message: Message, now: timedelta) -> Outbox:
         """Start an election; ignored if the term is over, as its sender may lead again by then."""
@@ -391,7 +401,7 @@
             # The stamp of an earlier term is not returned. In simulation, a restarted leader took a stamp of its
             # previous process, from another clock, for a recent one and held its lease beside another leader.
             stamp = message.stamp if message.term == self.term else 0
-            return [(message.sender, Message("appended", self.term, self.name, index, stamp=stamp))]
+            return [(message.sender, Message(APPEND_RESPONSE, self.term, self.name, index, stamp=stamp))]
         for offset, entry in enumerate(message.entries):
             entry_index = message.index + offset + 1
             if entry_index > journal.snapshot_index and journal.term_at(entry_index) != entry[0]:
@@ -400,7 +410,9 @@
                 break
         index = message.index + len(message.entries)
         self._commit_through(min(message.commit, index))
-        return [(message.sender, Message("appended", self.term, self.name, index, granted=True, stamp=message.stamp))]
+        return [
+            (message.sender, Message(APPEND_RESPONSE, self.term, self.name, index, granted=True, stamp=message.stamp))
+        ]
 
     def _on_append_response(self, message: Message, now: timedelta) -> Outbox:
         if self.role != "leader" or message.term != self.term:
@@ -422,8 +434,14 @@
         )
 
     def _on_install(self, message: Message, now: timedelta) -> Outbox:
+        """Receive a chunk of a snapshot, and restore the snapshot when it is complete.
+
+        Here ``commit`` is the chunk's offset in the snapshot's text, and ``granted`` marks the last chunk. In the
+        response, ``granted`` means that the snapshot is installed, else ``commit`` is the offset wanted next. The
+        leader measures its lease by its ``stamp``, which is returned unchanged.
+        """
         if message.term != self.term:
-            return [(message.sender, Message("appended", self.term, self.name))]
+            return [(message.sender, Message(APPEND_RESPONSE, self.term, self.name))]
         self._become_follower(message.sender, now)
         self._leader_contact_at = now
         snapshot_index, term, text = self._incoming_snapshot
@@ -441,13 +459,13 @@
             return [
                 (
                     message.sender,
-                    Message("installed", self.term, self.name, message.index, granted=True, stamp=message.stamp),
+                    Message(INSTALL_RESPONSE, self.term, self.name, message.index, granted=True, stamp=message.stamp),
                 )
             ]
         return [
             (
                 message.sender,
-                Message("installed", self.term, self.name, message.index, commit=len(text), stamp=message.stamp),
+                Message(INSTALL_RESPONSE, self.term, self.name, message.index, commit=len(text), stamp=message.stamp),
             )
         ]
 
@@ -464,6 +482,7 @@
         return True
 
     def _on_install_response(self, message: Message, now: timedelta) -> Outbox:
+        """Go on after the snapshot (``granted``), or send the chunk at the offset wanted next (``commit``)."""
         if self.role != "leader" or message.term != self.term:
             return []
         peer = message.sender
--- a/bramblestile/work/plan_state.py
+++ b/bramblestile/work/plan_state.py
@@ -162,7 +162,12 @@
         if entry.get("plan") == plan_id:
             machines[name] = Machine(name, machines[name].rank, Stage(entry["stage"]), entry["why"], entry["since"])
     announced, acknowledged = (json.loads(values.get(KEY_PREFIX + key, "{}")) for key in ("ahead", "floor"))
-    limits = Limits(header["most_out"], header["least"], header["apart"], timedelta(seconds=header["limit_s"]))
+    limits = Limits(
+        max_out=header["most_out"],
+        min_capacity=header["least"],
+        single_hall=header["apart"],
+        time_limit=timedelta(seconds=header["limit_s"]),
+    )
     return PlanState(
         plan_id,
         Status(status["status"]),
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -54,7 +54,7 @@
 def test_a_killed_member_is_detected_by_all_and_no_other_is_declared_dead(count: int) -> None:
     sim, names = start_fleet(count)
     sim.kill(names[3])
-    assert sim.until(sim.has_converged, 5 * S) < 2.5 * S
+    assert sim.run_until(sim.has_converged, 5 * S) < 2.5 * S
     assert not deaths(sim, names[3])
 
 
@@ -64,7 +64,7 @@
     sim.pause(names[5], span * S)
     sim.run(span * S)
     assert bool(deaths(sim)) is dies
-    assert sim.until(sim.has_converged, 10 * S) < S
+    assert sim.run_until(sim.has_converged, 10 * S) < S
     assert not deaths(sim, names[5])
 
 
@@ -83,7 +83,7 @@
     sim.run(20 * S)
     assert not [d for d in deaths(sim, names[5]) if d[0] != names[5]]
     sim.network.drop_rules.clear()
-    assert sim.until(sim.has_converged, 20 * S) < 5 * S
+    assert sim.run_until(sim.has_converged, 20 * S) < 5 * S
 
 
 def test_a_one_way_link_is_bypassed_by_indirect_probes() -> None:
@@ -99,7 +99,7 @@
     sim.run(30 * S)
     assert not deaths(sim)
     sim.kill(names[7])
-    assert sim.until(sim.has_converged, 10 * S) < 5 * S
+    assert sim.run_until(sim.has_converged, 10 * S) < 5 * S
 
 
 def test_each_side_of_a_partition_agrees_on_itself_and_both_merge_again() -> None:
@@ -112,7 +112,7 @@
         for p in sim.live_processes()
     )
     sim.network.drop_rules.clear()
-    assert sim.until(sim.has_converged, 20 * S) < 5 * S
+    assert sim.run_until(sim.has_converged, 20 * S) < 5 * S
 
 
 def test_seventy_percent_of_the_fleet_killed_at_once() -> None:
@@ -123,7 +123,7 @@
     sim, names = start_fleet(30)
     for name in names[3:24]:
         sim.kill(name)
-    assert sim.until(sim.has_converged, 30 * S) < 8 * S
+    assert sim.run_until(sim.has_converged, 30 * S) < 8 * S
 
 
 def test_a_restart_during_the_suspicion_replaces_the_previous_process() -> None:
@@ -132,7 +132,7 @@
     sim.run(0.5 * S)
     before = sim.by_name[names[4]].membership.local.epoch
     sim.start(names[4], seeds=names[:3])
-    assert sim.until(sim.has_converged, 5 * S) < S
+    assert sim.run_until(sim.has_converged, 5 * S) < S
     sim.run(8 * S)
     assert sim.has_converged() and not deaths(sim)
     assert all(
@@ -154,14 +154,14 @@
     first = sim.by_name[names[4]]
     second = sim.start(names[4], seeds=names[:3], address=("127.9.9.9", 7))
     sim.run(10 * S)
-    assert first.membership.name_holder is not None and second.membership.name_holder is None
+    assert first.membership.same_name_process is not None and second.membership.same_name_process is None
     hosts = {
         r.host for n in names if n != names[4] for r in sim.by_name[n].membership.live_members() if r.name == names[4]
     }
     assert hosts == {"127.9.9.9"}
     second.running = False  # the first process learns that its name is free again, and takes it
     sim.run(20 * S)
-    assert first.membership.name_holder is None and len(first.membership.live_members()) == 8
+    assert first.membership.same_name_process is None and len(first.membership.live_members()) == 8
 
 
 def test_a_member_that_leaves_is_removed_at_once() -> None:
@@ -169,7 +169,7 @@
     process = sim.by_name[names[5]]
     sim._send(process, process.membership.leave(sim.now))
     process.running = False
-    assert sim.until(sim.has_converged, 5 * S) < 0.6 * S
+    assert sim.run_until(sim.has_converged, 5 * S) < 0.6 * S
     assert not deaths(sim)
 
 
@@ -177,7 +177,7 @@
     sim, names = start_fleet(5)
     for n in range(200):
         sim.start(f"x{n}", seeds=names[:3])
-    assert sim.until(sim.has_converged, 20 * S) < 3 * S
+    assert sim.run_until(sim.has_converged, 20 * S) < 3 * S
 
 
 def test_traffic_per_member_does_not_grow_with_the_fleet() -> None:
