--- a/bramblestile/lab/membership_simulation.py
+++ b/bramblestile/lab/membership_simulation.py
@@ -91,18 +91,18 @@
         """Start a member; one of the same name at the same address replaces the process before."""
         self._starts += 1
         old = self.by_name.get(name)
-        own_address = address or (old.membership.local.host, old.membership.local.port) if old else address
-        own_address = own_address or (f"127.9.{len(self.processes) >> 8}.{len(self.processes) & 255}", 7)
+        process_address = address or (old.membership.local.host, old.membership.local.port) if old else address
+        process_address = process_address or (f"127.9.{len(self.processes) >> 8}.{len(self.processes) & 255}", 7)
         epoch = self.now // MICROSECOND << 11 | self._starts & 2047 if epoch is None else epoch
         random = Random(f"member {self.seed} {name} {self._starts}")
         seed_addresses = [
             (p.membership.local.host, p.membership.local.port) for s in seeds if (p := self.by_name.get(s))
         ]
         process = Process(
-            name, Membership(MemberRecord(name, *own_address, epoch), seed_addresses, random, self.now, self.config)
+            name, Membership(MemberRecord(name, *process_address, epoch), seed_addresses, random, self.now, self.config)
         )
         process.phase = SCHEDULING_PERIOD * random.random()
-        self.processes[own_address] = self.by_name[name] = process
+        self.processes[process_address] = self.by_name[name] = process
         self._plan_step(process)
         return process
 
--- a/bramblestile/memory/cluster.py
+++ b/bramblestile/memory/cluster.py
@@ -216,8 +216,8 @@
             return self._accepts_requests(host)
 
     def _accepts_requests(self, host: UpstreamHost) -> bool:
-        listed = self._listed.get(host.id)
-        effective = None if listed is None else self._with_effective_state(listed)
+        listed_host = self._listed.get(host.id)
+        effective = None if listed_host is None else self._with_effective_state(listed_host)
         return (
             effective is not None
             and effective.state is State.RUNNING
--- a/bramblestile/store/journal.py
+++ b/bramblestile/store/journal.py
@@ -118,7 +118,7 @@
         Raises:
             OSError: if it could not be written.
         """
-        kept = (
+        later_entries = (
             self.entries[snapshot_index - self.snapshot_index :]
             if snapshot_index >= self.snapshot_index and self.term_at(snapshot_index) == snapshot_term
             else []
@@ -126,7 +126,7 @@
         records: list[dict[str, Any]] = [
             {"base": snapshot_index, "base_term": snapshot_term, "values": dict(values)},
             {"term": self.term, "vote": self.voted_for},
-            {"at": snapshot_index, "entries": kept},
+            {"at": snapshot_index, "entries": later_entries},
         ]
         if self._file is not None and self._path is not None:
             self._replace_file(self._path, records)
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -47,7 +47,7 @@
 # Without quotas, the fleet is assumed to hold at least so many connections for each backend: a balancer that has just
 # started holds few itself, and must not take a few placements for a full fleet.
 MIN_CONNECTIONS_PER_BACKEND = 4.0
-# A backlog is to be worked off within this time: until it is, new connections there earn nothing.
+# A backlog is to be worked off within this time: until then, the messages of new connections miss their aim.
 BACKLOG_TARGET_S = 1.0
 
 # Choosing the sample and probing it.
@@ -60,11 +60,12 @@
 PROBE_WAIT_SHARE = 1 / 8
 # The wait for probes takes at most the remaining time divided by this.
 PROBE_WAIT_REMAINING_DIVISOR = 4
-# A full backend is probed again when its report is this old: it may count as full only for our own placements.
+# A full backend is probed again when its report is this old: it may count as full only because of the placements that
+# this balancer has made since.
 FULL_LOAD_LIFETIME_US = 400_000
 # A report is about this old on arrival: placements of that time are not in it.
 REPORT_AGE_US = 700_000
-# Mean interval of the load probes to backends that hold connections of ours.
+# Mean interval of the load probes to backends that hold connections of this balancer.
 LOAD_POLL_INTERVAL_US = 2_000_000
 # A backend at this load gets nothing new: overload would cost it all the connections that it holds.
 FULL_LOAD = 0.8
@@ -226,8 +227,8 @@
         self.failed_subscriptions = 0
         self.weights_at_us = None  # the next sample must not name a backend that is no longer listed
         if event.mode is not ListMode.CHANGES:
-            listed = {info.name for info in event.backends}
-            self.backends = {name: backend for name, backend in self.backends.items() if name in listed}
+            listed_names = {info.name for info in event.backends}
+            self.backends = {name: backend for name, backend in self.backends.items() if name in listed_names}
         for info in event.backends:
             backend = self.backends.get(info.name)
             if info.state is State.GONE:
@@ -304,7 +305,7 @@
     def _choose_sample(self, tracked: TrackedRequest) -> None:
         """Choose the few backends among which to decide, and wait for probes of those whose load is out of date."""
         tracked.sample = self._sample_backends(tracked) or tracked.sample
-        # After a full sample, newer reports are wanted: our own placements alone may have made it look full.
+        # After a full sample, newer reports are wanted: this balancer's placements may have made it look full.
         lifetime_us = FULL_LOAD_LIFETIME_US if tracked.full_samples else self.load_lifetime_us
         probed = [
             name
@@ -431,7 +432,7 @@
         return (sum(self.quotas.values()) or estimate or 1.0) * part
 
     def _cold_budget_remains(self) -> bool:
-        """Tell whether this balancer may send another request to a cold backend now (rule 4).
+        """Tell whether this balancer may send another request to a cold backend now (rule 4 of this module).
 
         The bound holds for all balancers together, so each keeps to its share of the budget. A fraction of an attempt
         is granted by chance, drawn once in fall_us: drawn anew for each request, the grants would add up.
@@ -478,7 +479,7 @@
         return load < self.full_load and not misses_aim
 
     def _may_repeat_on(self, backend: BackendState, tracked: TrackedRequest) -> bool:
-        """Apply rule 2: a keyed request that may have run goes only where, and while, its repeat is recognised."""
+        """Apply rule 2 of this module: a keyed request that may have run is only sent where its repeat is recognised."""
         if tracked.first_run_backend is None or tracked.request_class.effect is api.Effect.SAFE:
             return True
         elapsed_us = self.now_us - tracked.started_at_us
@@ -580,7 +581,7 @@
             self._move_connection(event.id)
             return
         if backend is not None and event.kind is NoteKind.HUSH and event.value >= BACKEND_SILENCE_MS:
-            # The backend died without closing its connections. Without a move, each client would find out by itself.
+            # The backend died without closing its connections. Without a move, each client notices by a time-out.
             self._mask(backend, Status.TIMED_OUT)
             for request_id in list(backend.connections):
                 self._move_connection(request_id)
@@ -610,7 +611,7 @@
         return 0.0
 
     def _shed_connections(self, backend: BackendState, load: float) -> None:
-        """Move the excess load off a backend whose messages miss their aim, for nothing is earned there."""
+        """Move the excess load off a backend whose messages miss their aim: a message that is late is worth nothing."""
         backend.last_shed_at_us = self.now_us
         free_load = self.full_load - self.average_load
         move_share = min(1.0, max(MIN_SHED_SHARE, free_load * SHED_SHARE_PER_FREE_LOAD))
@@ -693,7 +694,7 @@
             self._choose_sample(tracked)
 
     def _give_up(self, tracked: TrackedRequest) -> None:
-        """Send the one final answer (rule 1): a refusal where another try by the client is harmless, else a failure."""
+        """Send the one final answer (rule 1 of this module): a refusal where a retry is harmless, else a failure."""
         request_class = tracked.request_class
         is_harmless = (
             tracked.first_run_backend is None
@@ -735,8 +736,8 @@
                 self._mask(backend, event.status)
         waiting = [self.requests[request_id] for request_id in self.awaiting_probes]
         for tracked in [request for request in waiting if event.backend in request.sample]:
-            listed = [self.backends[name] for name in tracked.sample if name in self.backends]
-            if all(backend.probe_sent_at_us is None for backend in listed):
+            sampled = [self.backends[name] for name in tracked.sample if name in self.backends]
+            if all(backend.probe_sent_at_us is None for backend in sampled):
                 self._place_request(tracked)
 
     def _apply_report(self, backend: BackendState, report: api.Report | None) -> None:
@@ -762,7 +763,7 @@
                 self.average_load += (counted_load - self.average_load) / self.report_count
                 excessive_load = value * REPORTED_OVERLOAD_FACTOR if is_share and value > OVERLOAD else 0.0
                 if report.latency_ms is not None and _is_plausible(report.latency_ms):
-                    # A backlog outlives the load that caused it, and until it is gone nothing is earned there.
+                    # A backlog outlives the load that caused it, and until it is gone all messages miss their aim.
                     delay_load = self._load_from_delay(backend, report.latency_ms / 1000, self.min_message_aim_s)
                     excessive_load = max(excessive_load, delay_load)
                 if excessive_load and self.now_us - backend.last_shed_at_us >= SHED_INTERVAL_US:
