--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -479,7 +479,7 @@
         return load < self.full_load and not misses_aim
 
     def _may_repeat_on(self, backend: BackendState, tracked: TrackedRequest) -> bool:
-        """Apply rule 2 of this module: a keyed request that may have run is only sent where its repeat is recognised."""
+        """Apply rule 2 of this module: a keyed request that may have run goes only where its repeat is recognised."""
         if tracked.first_run_backend is None or tracked.request_class.effect is api.Effect.SAFE:
             return True
         elapsed_us = self.now_us - tracked.started_at_us
