--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -237,6 +237,7 @@
             self._sock.close()
 
     def _run_once(self) -> None:
+        """Wait for datagrams or the next step of the protocol, handle them, and report changes of the membership."""
         if self._sock is None and now() >= self._next_bind_at:
             self._next_bind_at = now() + RETRY_INTERVAL
             with contextlib.suppress(OSError):
@@ -272,6 +273,10 @@
             self._handle_datagram(datagram, source)
 
     def _handle_datagram(self, datagram: bytes, source: Address) -> None:
+        """Open, decode and handle one datagram; one that is not valid is counted and dropped.
+
+        An empty message asks for the last message to be sent again, sealed for the new epoch of its sender.
+        """
         try:
             sender_epoch, raw = self._sealer.open(datagram)
             if not raw:
--- a/bramblestile/fleet/membership.py
+++ b/bramblestile/fleet/membership.py
@@ -332,6 +332,11 @@
         return max(1.0, self.round_trips.upper_bound / self.config.ack_timeout)
 
     def _run_probes(self, now: timedelta) -> list[Outgoing]:
+        """Do what is due for all probes, and start the next one; return the messages to send.
+
+        After the ack timeout other members are asked to probe the target; after the probe's deadline it has failed. For
+        probes on behalf of others, a nack tells the requester that there is no answer yet.
+        """
         out: list[Outgoing] = []
         for sequence, probe in list(self._probes.items()):
             if not probe.indirect_sent and now >= self._ack_deadline(probe):
@@ -507,6 +512,10 @@
         return []
 
     def _on_ack(self, message: Message, now: timedelta) -> list[Outgoing]:
+        """Handle an ack: pass it on to the member for which the probe was sent, or end this member's own probe.
+
+        An ack of its own probe improves this member's health score and may clear a suspicion of the target.
+        """
         indirect = self._indirect_probes.pop(message.sequence, None)
         if indirect is not None:
             return [
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -239,6 +239,10 @@
         return Status.CANCELLED if excused else Status.CUT
 
     def _forward_to_downstream(self, observer: ConnectionObserver) -> None:
+        """Forward the upstream host's data until either side ends or the connection is paused for a handover.
+
+        ``feed`` returns how many of the received bytes may be forwarded now; the others wait in the buffer for more.
+        """
         buffer = bytearray(max(FORWARD_BUFFER_BYTES, 2 * len(self.unsent_to_downstream)))
         view = memoryview(buffer)
         size = len(self.unsent_to_downstream)
@@ -275,6 +279,7 @@
             size -= passed
 
     def _handle_messages(self, messages: list[Message], observer: ConnectionObserver) -> None:
+        """Report what messages of the upstream host show: response delays, loads, and that the host drains."""
         for message in messages:
             self.last_kind = message.kind
             if message.kind is MessageKind.RESPONSE:
@@ -311,6 +316,11 @@
             return not self.moved
 
     def _forward_to_upstream(self) -> None:
+        """Forward the client's data until either side ends or the connection is paused for a handover.
+
+        The times of queries are recorded, to measure the delay of their responses. After the client has closed its
+        side, the upstream host may still send for ``HALF_CLOSE_TIMEOUT``.
+        """
         buffer = bytearray(max(FORWARD_BUFFER_BYTES, 2 * len(self.unsent_to_upstream)))
         view = memoryview(buffer)
         size = len(self.unsent_to_upstream)
--- a/bramblestile/store/replica.py
+++ b/bramblestile/store/replica.py
@@ -245,6 +245,7 @@
         self.role, self.leader, self.timer_at = "follower", leader, now + self._random_election_timeout()
 
     def _append_message(self, peer: str, now: timedelta) -> Message:
+        """Return the next entries for a peer, or a snapshot chunk if the log no longer holds what it needs."""
         stamp = now // MICROSECOND
         prev_index = self.next_index[peer] - 1
         if prev_index < self.journal.snapshot_index:
@@ -389,6 +390,10 @@
         return self._start_election(now) if message.commit else self._become_leader(now)
 
     def _on_append(self, message: Message, now: timedelta) -> Outbox:
+        """Append the leader's entries if this log agrees up to the entry before them, and commit what the leader has.
+
+        The response's index is the last entry that agrees if it is granted, else the last one that may agree.
+        """
         journal = self.journal
         agrees = False
         if message.term == self.term:
--- a/bramblestile/trace/payload.py
+++ b/bramblestile/trace/payload.py
@@ -412,6 +412,7 @@
     kind: _KindContext | None,
     list_context: _ListContext | None = None,
 ) -> list[Any]:
+    """Decode the presence marks of a column and then its values; a missing value is None."""
     present: list[bool] | None = None
     if column.nullable:
         mark = cursor.read_byte()
--- a/bramblestile/wire/checks.py
+++ b/bramblestile/wire/checks.py
@@ -37,6 +37,7 @@
             threading.Thread(target=self._run, args=(name, check), name="check " + name, daemon=True).start()
 
     def _run(self, name: str, check: CheckTarget) -> None:
+        """Check one host at each interval and pass on each result that counts."""
         failures, successes, down = 0, 0, False
         while not self._stopped.is_set():
             try:
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -102,6 +102,7 @@
             raise
 
     def _get(self, path: str, until: timedelta) -> tuple[int, bytes]:
+        """Send one GET request, connecting if necessary, and read the whole response; return its status and body."""
         if self._aborted:
             raise ConnectionAbortedError("stopped")
         if self._sock is None:
--- a/bramblestile/wire/lines.py
+++ b/bramblestile/wire/lines.py
@@ -202,6 +202,7 @@
         self._reply(ERR)
 
     def _exchange(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
+        """Send the request line and wait for the first line of the answer; ``UP`` establishes the connection."""
         # The line of a bound connection is sent unchanged: the host knows the connection by it.
         bound = self._request.bound_to is not None
         try:
@@ -280,6 +281,7 @@
         return status, report
 
     def _probe_once(self, host: UpstreamHost, until: timedelta) -> tuple[Status, Report | None]:
+        """Send one STATS probe, over the connection of the last one if it is still open; return its result."""
         try:
             if self._transport is None:
                 self._transport = self._dial(host, until - now(), until)
--- a/bramblestile/wire/nats.py
+++ b/bramblestile/wire/nats.py
@@ -251,6 +251,7 @@
         self._reply(STALE_CONNECTION)
 
     def _exchange(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
+        """Wait for the host's INFO, send the client's CONNECT and a PING, and wait for the PONG that accepts it."""
         reader = LineReader(upstream, MAX_LINE_BYTES * 4)  # an INFO may be longer than a client's lines
         sent = False
         while True:
--- a/bramblestile/wire/peers.py
+++ b/bramblestile/wire/peers.py
@@ -54,6 +54,7 @@
             self._counters.add("store_messages_dropped")
 
     def _run(self, name: str) -> None:
+        """Send the messages queued for one peer over one connection, which is opened again after a failure."""
         sock: socket.socket | None = None
         while not self._stopped.is_set():
             try:
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -50,6 +50,7 @@
                 queue.put(None)
 
     def _run(self, name: str, queue: SimpleQueue[None]) -> None:
+        """Run the probes of one host, one after the other; end when none is requested for ``IDLE_TIMEOUT``."""
         probe, close = self._make_prober()
         probed_start = None
         while True:
--- a/bramblestile/work/scheduler.py
+++ b/bramblestile/work/scheduler.py
@@ -244,6 +244,11 @@
         return found
 
     def _unconfirmed_reason(self, name: str, plan_id: str, machine: Machine, plan: PlanState, now: timedelta) -> str:
+        """Return why a balancer may still send to a machine, or an empty string if it surely sends nothing there.
+
+        It sends nothing there if a poll of it has confirmed that, if it has left the fleet, or if it has been silent
+        for so long that its lease no longer lets it (see participant.py).
+        """
         if name in self.departed:
             return ""
         last_poll, (_, version, _) = self.last_polls.get(name), self.stage_changes[machine.name]
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -221,6 +221,7 @@
                 time.sleep(TICK.total_seconds())
 
     def _run_once(self) -> None:
+        """Handle messages until the next tick, then do what is due as a voter, as the leader and as a participant."""
         until = now() + TICK if self.replica is not None else min(now() + IDLE_TICK, self.participant.next_poll_at)
         while (remaining := until - now()) > ZERO_DURATION:
             try:
@@ -244,6 +245,10 @@
             self._gossip.publish("management", self._management_address.encode(), ADDRESS_LIFETIME)
 
     def _handle(self, sender: str, payload: bytes) -> None:
+        """Handle one datagram: a reply to a poll, a message between voters, or a poll.
+
+        A poll that reaches a voter that does not lead is passed on to the leader, once.
+        """
         try:
             if payload[:1] == b"r":
                 message: Message | Poll | Reply = _message_decoder.decode(payload[1:])
@@ -275,6 +280,7 @@
             self._gossip.send(recipient, b"r" + _encode(message))
 
     def _poll(self, current_time: timedelta) -> None:
+        """Send a poll with this balancer's state: mostly to the known leader, sometimes to a voter drawn at random."""
         excluded = list(self.participant.excluded)
         quiesced = [
             h
@@ -298,6 +304,7 @@
     # This balancer's own part.
 
     def _apply_constraints(self, current_time: timedelta) -> None:
+        """Update when each machine was excluded and returned, and give the balancer the constraints that follow."""
         participant = self.participant
         excluded = set(participant.excluded)
         for host in excluded - set(self._draining_since):
@@ -310,11 +317,11 @@
             self._returned_at = {h: t for h, t in self._returned_at.items() if current_time - t < timedelta(minutes=10)}
         closed_hosts = frozenset(h for h in self._balancer.hosts() if not participant.allows(h, current_time))
         constraints = RoutingConstraints(
-            closed_hosts,
-            dict(self._draining_since),
-            dict(self._returned_at),
-            participant.weight_factors(),
-            participant.is_excluded,
+            closed_hosts=closed_hosts,
+            draining_since=dict(self._draining_since),
+            returned_at=dict(self._returned_at),
+            weight_factors=participant.weight_factors(),
+            drain_self=participant.is_excluded,
         )
         if constraints != self._constraints:
             self._balancer.apply_constraints(constraints)
@@ -553,6 +560,7 @@
             self._pending_calls.remove(call)
 
     def _execute(self, call: OperatorCall, replica: Replica, current_time: timedelta) -> None:
+        """Execute an operator's call on the leader. Raises PlanError for one that is not valid."""
         plan, scheduler = self._plan(), self.scheduler
         match call.verb:
             case "show":
--- a/vanegw/recording.py
+++ b/vanegw/recording.py
@@ -159,6 +159,7 @@
         until_us: int | None,
         retry_after_us: int | None,
     ) -> None:
+        """Record a decision with its cause: a first attempt, a retry, a client's retry or a client that reconnects."""
         earlier_attempts = len(tracked.attempted) - (decision == ATTEMPT)
         request = tracked.request
         cause = RETRY if earlier_attempts else RETURN if request.is_return else AGAIN if request.is_retry else FIRST
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -219,6 +219,7 @@
     # The backend list.
 
     def _on_backend_list(self, event: api.BackendList) -> None:
+        """Replace or update the backends, and schedule the next subscription where one is needed."""
         if event.mode is ListMode.UNAVAILABLE:
             self.failed_subscriptions += 1
             doublings = min(self.failed_subscriptions, MAX_SUBSCRIBE_DOUBLINGS)
@@ -257,6 +258,7 @@
     # Requests.
 
     def _on_request(self, event: api.Request) -> None:
+        """Track a new request, and refuse it or choose a sample of backends for it."""
         request_class = self.classes.get(event.cls)
         if request_class is None:
             # Whether it may be repeated is unknown, so it must not be served as another class.
@@ -575,6 +577,7 @@
             backend.connections[event.request.id] = None
 
     def _on_note(self, event: api.Note) -> None:
+        """Handle a measurement: move silent connections, record loads, and shed load where messages are late."""
         backend = self.backends.get(event.backend)
         tracked = self.requests.get(event.id)
         if tracked is not None and event.kind is NoteKind.SILENCE and event.value >= CONNECTION_SILENCE_MS:
@@ -639,6 +642,7 @@
         self.actions.append(api.Move(request_id))
 
     def _on_outcome(self, event: api.Outcome) -> None:
+        """Handle the end of an attempt or a connection: update the figures, then retry or forget the request."""
         backend = self.backends.get(event.backend)
         tracked = self.requests.get(event.id)
         if backend is not None:
@@ -771,6 +775,7 @@
                 return
 
     def _on_timer_fired(self, event: api.TimerFired) -> None:
+        """Handle a timer by its token: subscribe, poll loads, move a drained backend's connections, or place a request."""
         if event.token == SUBSCRIBE_TIMER:
             self.actions.append(api.Subscribe())
             return
