--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -775,7 +775,7 @@
                 return
 
     def _on_timer_fired(self, event: api.TimerFired) -> None:
-        """Handle a timer by its token: subscribe, poll loads, move a drained backend's connections, or place a request."""
+        """Handle a timer by its token: subscribe, poll loads, move connections off a backend, or place a request."""
         if event.token == SUBSCRIBE_TIMER:
             self.actions.append(api.Subscribe())
             return
