--- a/bramblestile/fleet/gossip.py
+++ b/bramblestile/fleet/gossip.py
@@ -310,6 +310,7 @@
             self._write(sealed, to)
 
     def _send(self, out: Sequence[Outgoing]) -> None:
+        """Seal and send messages; the last one to each address is kept, in case it has to be sent again."""
         for to, message in out:
             raw = to_msgpack(message)
             if len(raw) > MAX_MESSAGE_BYTES:
@@ -359,6 +360,10 @@
 
 
 def _row(record: MemberRecord, for_ms: int, extra: dict[str, Any]) -> dict[str, Any]:
+    """Return one member's row of the operator view; ``for_ms`` is the time since its state began here.
+
+    The keys ``life`` and ``turn`` hold the epoch and the incarnation of its record.
+    """
     return {
         "name": record.name,
         "state": State(record.state).name.lower(),
--- a/bramblestile/fleet/membership.py
+++ b/bramblestile/fleet/membership.py
@@ -384,6 +384,7 @@
         return None
 
     def _send_probe(self, target: str, now: timedelta) -> list[Outgoing]:
+        """Start a probe of a peer, unless one is pending; return the ping to send."""
         if any(probe.target == target for probe in self._probes.values()):
             return []
         sequence = self._next_sequence()
@@ -436,6 +437,7 @@
         return True
 
     def _expire_suspicions(self, now: timedelta, out: list[Outgoing]) -> None:
+        """Declare peers dead whose suspicion has reached its deadline; a single other accuser is not enough."""
         for peer in list(self._suspects.values()):
             suspicion = peer.suspicion
             if suspicion is None or now < suspicion.deadline:
@@ -814,6 +816,7 @@
         accuser: str = "",
         accusers: tuple[str, ...] = (),
     ) -> None:
+        """Set a peer's state from now on, and record the change if there is one."""
         before = peer.state
         peer.since = now
         self._replace_record(peer, _with_state(record, state, accuser))
--- a/bramblestile/lab/datagram_proxy.py
+++ b/bramblestile/lab/datagram_proxy.py
@@ -77,6 +77,7 @@
                 self._forward(source, target, datagram)
 
     def _receive(self, target: str, sock: socket.socket) -> None:
+        """Receive datagrams for ``target``, and forward, delay, copy or drop each one by the faults of its link."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 datagram, address = sock.recvfrom(MAX_DATAGRAM_BYTES)
--- a/bramblestile/lab/maintenance_driver.py
+++ b/bramblestile/lab/maintenance_driver.py
@@ -160,10 +160,10 @@
         else:
             self._restart_server(name)
         while not self._stopped.is_set():
-            status, said = self.call_once("PUT", f"/done/{name}")
+            status, answer = self.call_once("PUT", f"/done/{name}")
             if status == 200 or self.stages.get(name) not in ("out", "held"):
                 return
-            self.harness.event_log.add("not done", machine=name, status=status, said=said)
+            self.harness.event_log.add("not done", machine=name, status=status, said=answer)
             self._stopped.wait(0.2)
 
     def _restart_server(self, name: str) -> None:
--- a/bramblestile/lab/processes.py
+++ b/bramblestile/lab/processes.py
@@ -192,8 +192,8 @@
     def _run(self) -> None:
         while not self._stopped:
             with self._lock:
-                new, self._unregistered = self._unregistered, []
-            for name, process in new:
+                unregistered, self._unregistered = self._unregistered, []
+            for name, process in unregistered:
                 assert process.stderr is not None
                 self._selector.register(process.stderr, selectors.EVENT_READ, name)
             if not self._selector.get_map():
--- a/bramblestile/store/journal.py
+++ b/bramblestile/store/journal.py
@@ -54,19 +54,20 @@
         """Apply all lines; return the number of bytes up to the end of the last complete one."""
         valid_bytes = 0
         lines = path.read_bytes().splitlines(keepends=True)
-        for number, line in enumerate(lines, 1):
+        for line_number, line in enumerate(lines, 1):
             try:
                 if not line.endswith(b"\n"):
                     raise ValueError("incomplete line")
                 self._apply(json.loads(line))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                if number == len(lines):
+                if line_number == len(lines):
                     break  # an interrupted write, which was never acknowledged
-                raise JournalError(f"{path.name}: line {number}: {error}") from None
+                raise JournalError(f"{path.name}: line {line_number}: {error}") from None
             valid_bytes += len(line)
         return valid_bytes
 
     def _apply(self, record: dict[str, Any]) -> None:
+        """Apply one record: a vote (``vote``), a snapshot (``base``), or the entries after index ``at``."""
         if "vote" in record:
             self.term, self.voted_for = int(record["term"]), str(record["vote"])
         elif "base" in record:
--- a/bramblestile/store/replica.py
+++ b/bramblestile/store/replica.py
@@ -217,6 +217,10 @@
         return [(peer, Message(TIMEOUT_NOW, self.term, self.name))]
 
     def _start_election(self, now: timedelta, transferred: bool = False) -> Outbox:
+        """Vote for itself in a new term and request the others' votes.
+
+        ``transferred`` tells them that the leader has handed its leadership over: they need not wait for its lease.
+        """
         if not self._save_vote(self.term + 1, self.name):
             return []
         self.role, self.timer_at = "candidate", now + self._random_election_timeout()
@@ -225,7 +229,7 @@
             return self._become_leader(now)
         index, index_term = self._last_index_and_term()
         return [
-            (peer, Message(VOTE_REQUEST, self.term, self.name, index, index_term, transferred))
+            (peer, Message(VOTE_REQUEST, self.term, self.name, index, index_term, granted=transferred))
             for peer in self.other_peers
         ]
 
@@ -420,6 +424,10 @@
         ]
 
     def _on_append_response(self, message: Message, now: timedelta) -> Outbox:
+        """Record how far the peer's log agrees, and send what it lacks.
+
+        ``stamp`` is this leader's own time of sending: its lease counts from there.
+        """
         if self.role != "leader" or message.term != self.term:
             return []
         peer, last_index = message.sender, self._last_index_and_term()[0]
--- a/bramblestile/trace/files.py
+++ b/bramblestile/trace/files.py
@@ -135,6 +135,7 @@
             self.damage.append(damage)
 
     def _read_header(self) -> None:
+        """Read the file header and find the first block; raise TraceError if the file is not a trace."""
         fixed = self._read_at(0, frames.FILE_HEADER_SIZE)
         remaining = frames.description_size(fixed)
         if remaining is not None and frames.FILE_HEADER_SIZE + remaining <= self.size:
--- a/bramblestile/trace/recorder.py
+++ b/bramblestile/trace/recorder.py
@@ -319,6 +319,7 @@
         self._backoff.record_success()
 
     def _write(self, batch: list[Record], at: timedelta) -> bool:
+        """Write a batch, with the records of losses before it; return False and restore those losses on a failure."""
         lost = self.losses.drain(at // MICROSECOND)
         batch = [*lost, *batch]
         for record in batch:
--- a/bramblestile/trace/story.py
+++ b/bramblestile/trace/story.py
@@ -96,6 +96,7 @@
 
 
 def _decision_lines(record: Decision) -> Iterator[str]:
+    """Yield a line for the decision, one for the figures that it was based on, and one for each candidate."""
     if record.what == "attempt":
         limit = "" if record.until_us is None else f", timeout {format_duration(record.until_us)}"
         yield f"chose {record.host}: {REASONS.get(record.why, record.why)}{limit}"
--- a/bramblestile/trace/summary.py
+++ b/bramblestile/trace/summary.py
@@ -303,6 +303,7 @@
 def _share_difference(
     dimension: str, name: str, measure: str, a: int, total_a: int, b: int, total_b: int
 ) -> dict[str, Any]:
+    """Return one compared share (``a`` of ``total_a`` and ``b`` of ``total_b``) with its z-score."""
     z = z_score(a, total_a, b, total_b)
     return {
         "by": dimension,
--- a/bramblestile/wire/discovery.py
+++ b/bramblestile/wire/discovery.py
@@ -236,6 +236,7 @@
         old.shut_down()
 
     def _run(self) -> None:
+        """Poll the current service from each ``trigger`` on; a failed request ends that and is reported as no list."""
         while True:
             self._triggered.wait()
             self._triggered.clear()
--- a/vanegw/recording.py
+++ b/vanegw/recording.py
@@ -122,6 +122,7 @@
             self._record(tracked, ATTEMPT, candidates, name, action.until_us, None)
 
     def _give_up(self, tracked: TrackedRequest) -> None:
+        """Extend the final answer by a counter for its reason and, if recording is on, a record of the decision."""
         candidates = self._candidates(tracked) if self.recording else []
         self.counter_names.append(f"given_up_{self._give_up_reason(tracked)}")
         super()._give_up(tracked)
@@ -132,9 +133,9 @@
                 tracked,
                 REFUSE if is_refusal else FAIL,
                 candidates,
-                None,
-                None,
-                action.retry_after_us if isinstance(action, api.Refuse) else None,
+                backend=None,
+                until_us=None,
+                retry_after_us=action.retry_after_us if isinstance(action, api.Refuse) else None,
             )
 
     def _give_up_reason(self, tracked: TrackedRequest) -> str:
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -547,6 +547,7 @@
     # Results of attempts and probes.
 
     def _on_opened(self, event: api.Opened) -> None:
+        """Count a connection as open; its backend has no failure to be masked for any more."""
         tracked = self.requests.get(event.id)
         backend = self.backends.get(event.backend)
         if tracked is None:
@@ -554,13 +555,14 @@
         tracked.is_open = True
         tracked.started_at_us = self.now_us
         self._count_connection(tracked, 1)
-        self._update_timeout_rate(False)
+        self._update_timeout_rate(timed_out_or_shed=False)
         if backend is not None:
             backend.connections[event.id] = None
             backend.consecutive_failures = 0
             backend.masked_until_us = -math.inf
 
     def _on_inherited(self, event: api.Inherited) -> None:
+        """Track a connection that was opened before this balancer was created."""
         request_class = self.classes.get(event.request.cls, self.settings.classes[0])
         tracked = TrackedRequest(
             event.request,
@@ -730,6 +732,7 @@
             self.actions.append(api.Cancel(event.id, len(tracked.attempted) - 1))
 
     def _on_probe_result(self, event: api.ProbeResult) -> None:
+        """Apply a probe's report or mask the backend, and place the requests whose last awaited probe this was."""
         backend = self.backends.get(event.backend)
         if backend is not None:
             backend.probe_sent_at_us = None
