--- a/tests/test_trace_daemon.py
+++ b/tests/test_trace_daemon.py
@@ -134,13 +134,23 @@
         assert len(records) > 50 and find_missing(records, killed_at) == []
 
 
+def wait_until_ended(program: DaemonProcess, connections: int) -> None:
+    """Wait until the daemon has counted so many ends of connections; it notices one after its client has closed."""
+    end = time.monotonic() + 10
+    while sum(count for name, count in program.counters().items() if name.startswith("ended_")) < connections:
+        assert time.monotonic() < end
+
+
 def test_sighup_switches_tracing_on_and_off_without_affecting_requests(tmp_path: Path, hosts: StubHosts) -> None:
     folder = tmp_path / "t"
     folder.mkdir()
     with running_daemon(tmp_path, hosts) as program:
-        assert sum(run_load(program.address, 20).values()) == 20 and read_traces(folder) == []
+        untraced_answers = run_load(program.address, 20)
+        assert sum(untraced_answers.values()) == 20 and read_traces(folder) == []
+        wait_until_ended(program, untraced_answers["UP"])
         assert program.reload(trace=trace_config(folder))["text"] == "done"
         answers = run_load(program.address, 20, seed=2)
+        wait_until_ended(program, untraced_answers["UP"] + answers["UP"])
         assert program.reload(trace=None)["text"] == "done"
         assert sum(run_load(program.address, 20, seed=3).values()) == 20
         records = read_traces(folder)
