--- a/benchmarks/trace_size.py
+++ b/benchmarks/trace_size.py
@@ -27,6 +27,7 @@
 
 
 def write_columns(records: list[Record], path: Path) -> None:
+    """Write the records in the columnar layout, with everything in large blocks."""
     with open(path, "wb") as file:
         writer = Writer(file, {}, threads=4)
         writer.extend(records)
@@ -35,6 +36,7 @@
 
 
 def write_rows(records: list[Record], path: Path) -> None:
+    """Write the records in the layout of rows that the daemon uses."""
     with open(path, "wb") as file:
         writer = Writer(file, {}, level=1, block_records=4096, layout=frames.ROWS)
         writer.extend(records)
@@ -42,25 +44,30 @@
 
 
 def read_window(path: Path, since: int) -> int:
+    """Count the records of one window of a trace file."""
     with Reader(path) as reader:
         return sum(1 for _ in reader.read(Query(since, since + WINDOW_US)))
 
 
 def write_json(records: list[Record], path: Path) -> None:
+    """Write the records as JSON lines."""
     path.write_bytes(b"".join(to_json(r) + b"\n" for r in records))
 
 
 def write_gzip(records: list[Record], path: Path) -> None:
+    """Write the records as JSON lines compressed with gzip."""
     path.write_bytes(gzip.compress(b"".join(to_json(r) + b"\n" for r in records), 6))
 
 
 def read_json_window(path: Path, since: int) -> int:
+    """Count the records of one window of a file of JSON lines, compressed or not."""
     data = path.read_bytes()
     lines = (gzip.decompress(data) if path.suffix == ".gz" else data).splitlines()
     return sum(since <= from_json(line).at < since + WINDOW_US for line in lines)
 
 
 def write_mcap(records: list[Record], path: Path) -> None:
+    """Write the records to an MCAP file."""
     from mcap.writer import CompressionType
     from mcap.writer import Writer as McapWriter
 
@@ -80,6 +87,7 @@
 
 
 def read_mcap_window(path: Path, since: int) -> int:
+    """Count the records of one window of an MCAP file."""
     from mcap.reader import make_reader
 
     with open(path, "rb") as file:
@@ -98,7 +106,8 @@
 
 
 def write_parquet(records: list[Record], path: Path) -> None:
-    import pyarrow.write_parquet as pq
+    """Write the records to Parquet files, one for each kind."""
+    import pyarrow.parquet as pq
 
     path.mkdir()
     for kind, table in _arrow_tables(records).items():
@@ -106,13 +115,15 @@
 
 
 def read_parquet_window(path: Path, since: int) -> int:
-    import pyarrow.write_parquet as pq
+    """Count the records of one window of Parquet files."""
+    import pyarrow.parquet as pq
 
     window = [("at", ">=", since), ("at", "<", since + WINDOW_US)]
     return sum(pq.read_table(kind, filters=window).num_rows for kind in path.iterdir())
 
 
 def write_arrow(records: list[Record], path: Path) -> None:
+    """Write the records to Arrow IPC files, one for each kind."""
     import pyarrow as pa
 
     path.mkdir()
@@ -123,6 +134,7 @@
 
 
 def read_arrow_window(path: Path, since: int) -> int:
+    """Count the records of one window of Arrow IPC files."""
     import pyarrow as pa
     import pyarrow.compute as pc
 
@@ -135,6 +147,7 @@
 
 
 def write_sqlite(records: list[Record], path: Path) -> None:
+    """Write the records to an SQLite database with indexes."""
     database = sqlite3.connect(path)
     database.execute("create table r (at integer, kind text, id text, host text, body blob)")
     encode = msgspec.msgpack.Encoder().encode
@@ -149,6 +162,7 @@
 
 
 def read_sqlite_window(path: Path, since: int) -> int:
+    """Count the records of one window of an SQLite database."""
     database = sqlite3.connect(path)
     decode = msgspec.msgpack.Decoder().decode
     return sum(
