--- a/bramblestile/cli/trace.py
+++ b/bramblestile/cli/trace.py
@@ -423,6 +423,7 @@
 
 
 def _print_rows(rows: list[dict[str, Any]], form: str, json_data: Any) -> None:
+    """Print ``rows`` as a table or as CSV, or ``json_data`` if the form is JSON."""
     keys = list(dict.fromkeys(chain.from_iterable(rows)))
     if form == "json":
         import json
@@ -476,9 +477,14 @@
 @click.option("--all", "all_", is_flag=True, help="Include differences that may be due to chance.")
 @FORMAT
 def diff(a: Path, b: Path, all_: bool, form: str) -> None:
-    """Compare two traces: outcomes and time to up by class, placements, cuts and moves by host.
+    """Compare two traces, in one row for each compared figure.
 
-    z is the difference of two shares in standard errors; beyond 3 it is hardly due to chance.
+    By class: the share of each outcome, and the time from a request's arrival to its answer "served" (up_p50_us,
+    up_p99_us). By host: its share of all placements, and the shares of its connections that were cut (ended_cut) or
+    moved.
+
+    Columns: by and name tell the class or host, what is the figure, a and b are its values in the two traces. z is the
+    difference of two shares in standard errors; beyond 3 it is hardly due to chance (beyond_chance).
     """
     from bramblestile.trace.summary import compare
 
@@ -490,7 +496,7 @@
             for row in compare(first, second)
             if all_ or row["beyond_chance"] or (row["z"] is None and row["a"] != row["b"])
         ]
-        _print_rows(rows, form, rows)
+        _print_rows(rows, form, json_data=rows)  # JSON prints the same rows as the table
         for reader in readers:
             _report_damage(reader)
 
--- a/bramblestile/operations/connection_codec.py
+++ b/bramblestile/operations/connection_codec.py
@@ -19,7 +19,12 @@
 def encode_connection(connection: ProxiedConnection, request: api.Request) -> dict[str, Any]:
     """Return what another process needs to go on with a connection.
 
-    That is the data that was read and not yet sent on, the times of the queries without a response, and the request.
+    The keys are those that existing processes exchange:
+
+    - ``stand``: the connection's id; ``host``: the id of the upstream host; ``request``: the request's fields.
+    - ``up``, ``down``: bytes read and not yet sent on to the upstream host or to the downstream, in hexadecimal.
+    - ``asked``: times of the queries without a response; ``answered``: time of the last response; in microseconds.
+    - ``started``, ``last``: the attributes ``started`` and ``last_kind`` of the connection.
     """
     return {
         "stand": connection.id,
@@ -37,18 +42,19 @@
 def decode_connection(
     message: dict[str, Any], downstream: socket.socket, upstream: socket.socket
 ) -> tuple[ProxiedConnection, api.Request]:
-    """Rebuild a connection and its request from a message and the two sockets.
+    """Rebuild a connection of the line protocol and its request from a message and the two sockets.
 
+    ``encode_connection`` describes the keys of the message.
     Raises KeyError, TypeError or ValueError if the message is incomplete or malformed.
     """
     request = api.Request(**message["request"])
     connection = lines.connection(
-        str(message["stand"]),
-        str(message["host"]),
-        downstream,
-        upstream,
-        bytes.fromhex(message["up"]),
-        bytes.fromhex(message["down"]),
+        connection_id=str(message["stand"]),
+        host=str(message["host"]),
+        downstream=downstream,
+        upstream=upstream,
+        unsent_to_upstream=bytes.fromhex(message["up"]),
+        unsent_to_downstream=bytes.fromhex(message["down"]),
     )
     connection.pending_queries.extend(timedelta(microseconds=int(at)) for at in message["asked"])
     connection.last_response = timedelta(microseconds=int(message["answered"]))
--- a/bramblestile/operations/handoff.py
+++ b/bramblestile/operations/handoff.py
@@ -151,6 +151,7 @@
                 link.send(_encode({"ready": True}))
 
     def _serve_predecessor(self, link: socket.socket) -> None:
+        """Handle the predecessor's messages until it closes the link, then listen for a successor."""
         with contextlib.suppress(OSError):
             while True:
                 raw, descriptors, _, _ = socket.recv_fds(link, MAX_MESSAGE_BYTES, 2)
@@ -164,7 +165,10 @@
         self._listen()
 
     def _handle_message(self, link: socket.socket, raw: bytes, descriptors: list[int]) -> None:
-        """Handle a message from the predecessor: a part of its state, or a connection to adopt."""
+        """Handle a message from the predecessor: a part of its state, or a connection to adopt.
+
+        The key ``learned`` holds the part of the state, and ``stand`` the connection's id.
+        """
         transports = [socket.socket(fileno=fd) for fd in descriptors]
         connection_id, adopted = "", False
         try:
--- a/bramblestile/operations/management_api.py
+++ b/bramblestile/operations/management_api.py
@@ -114,14 +114,18 @@
         if not self._balancer.is_known(host):
             return HttpResponse(404, "no image server of this id is listed")
 
-        def change(orders: Orders) -> Orders:
+        def suspend_or_resume_host(orders: Orders) -> Orders:
+            """Return the operator's orders with this host suspended or resumed.
+
+            Resuming needs the host's last start, as a host restarted while it was suspended begins its slow start then.
+            """
             return (
                 orders.suspend(host, now())
                 if suspended
                 else orders.resume(host, now(), self._balancer.started_at(host))
             )
 
-        error_response = self._change_orders(change)
+        error_response = self._change_orders(suspend_or_resume_host)
         if error_response or not suspended:
             return error_response or SUCCESS
         deadline = now() + SUSPEND_TIMEOUT
--- a/bramblestile/operations/server.py
+++ b/bramblestile/operations/server.py
@@ -31,6 +31,8 @@
 POLL_INTERVAL = timedelta(milliseconds=5)  # between two polls of a pending response
 MAX_FORWARDED_RESPONSE_BYTES = 1 << 21
 BIND_RETRY_INTERVAL = timedelta(milliseconds=500)  # while another process holds the address
+TIMEOUT_CHECK_INTERVAL_MS = 100  # for the timeouts of open connections, and for the next attempt to bind
+IDLE_POLL_TIMEOUT_MS = 1000  # without connections; ``stop`` and new callers end the wait early
 
 
 def forward_call(address: str, method: str, path: str, body: str) -> tuple[int, str]:
@@ -165,10 +167,15 @@
             self._advance(connection, current_time)
 
     def _poll_timeout_ms(self) -> int:
-        """Return the time until something is due even if no socket is ready."""
+        """Return how long to wait for a socket before the connections' timeouts and pending responses are checked.
+
+        A pending response belongs to a complete request whose result is not known yet; it has to be polled.
+        """
         if any(c.pending is not None for c in self._connections.values()):
             return POLL_INTERVAL // timedelta(milliseconds=1)
-        return 100 if self._connections or self._sock is None else 1000
+        if self._connections or self._sock is None:
+            return TIMEOUT_CHECK_INTERVAL_MS
+        return IDLE_POLL_TIMEOUT_MS
 
     def _accept(self) -> None:
         assert self._sock is not None
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -199,7 +199,12 @@
                 self.decisions.set_closed(host.id, False)
 
     def start(self) -> None:
-        """Start all parts and listen. Raises ConfigError if the address cannot be bound."""
+        """Start all parts and create the listener; the listener accepts at once if it binds a socket of its own.
+
+        On an inherited socket the daemon starts the listener: at once if no predecessor process serves, and else when
+        the predecessor's state has been imported, as the predecessor accepts from that socket until then. Raises
+        ConfigError if the address cannot be bound.
+        """
         if self.tls is not None:
             self.tls.start()
         self.decisions.on_probe = self.probes.request
@@ -208,6 +213,7 @@
             self._start_watch(self.discovery_watch)
         self.decisions.start()
         self.connections.start()
+        # RESTORED: the list known at the start, which holds until discovery delivers one.
         self.decisions.update_list(api.ListMode.RESTORED, self.config.known_hosts)
         self.checks.start()
         with naming_key(self.address_key, self.config.listen):
--- a/bramblestile/work/participant.py
+++ b/bramblestile/work/participant.py
@@ -120,7 +120,11 @@
         )
 
     def handle_reply(self, reply: Reply, now: timedelta) -> bool:
-        """Take over a reply; return whether the leader waits for this change to be confirmed by an immediate poll."""
+        """Adopt a leader's reply unless it is outdated.
+
+        Returns whether it changed the version that this balancer acts by. The leader waits until a poll confirms that
+        version, so the next poll is then due at once.
+        """
         if reply.epoch != self.epoch or (reply.term, reply.version) < (self.term, self.applied_version):
             return False  # to an earlier process of this balancer, or older than what this one acts by
         changed = (reply.term, reply.version) != (self.term, self.applied_version)
@@ -157,7 +161,15 @@
         return self.status not in ("none", "ended")
 
     def lease_state(self, now: timedelta) -> str:
-        """Return ``free`` without a plan, ``bound`` by a lease, ``cut off`` after it, or ``silent`` for long."""
+        """Return the state of this balancer's lease, by its own clock.
+
+        - ``free``: no plan is active, so no lease is needed.
+        - ``bound``: the lease is valid, so the last reply holds.
+        - ``cut off``: the lease expired less than ``SILENCE_TIMEOUT`` ago. Any machine announced in the last reply may
+          have left since.
+        - ``silent``: the lease expired at least ``SILENCE_TIMEOUT`` ago, or there never was one. Machines announced
+          later may have left as well, so any machine of the plan outside the fallback.
+        """
         if not self.is_active():
             return "free"
         if self.lease_expires_at is None:
@@ -180,14 +192,26 @@
         return {name: MIN_WEIGHT_FACTOR + step * place for place, name in enumerate(waiting)}
 
     def allows(self, host: str, now: timedelta) -> bool:
-        """Return whether a new request may be sent to this machine now."""
+        """Return whether a new request may be sent to this machine now.
+
+        Machines excluded in the last reply get none. After that it depends on ``lease_state``:
+
+        - ``free`` and ``bound``: all others are allowed.
+        - ``cut off``: announced machines are refused. The leader lets no other machine leave before this state is over.
+        - ``silent``: fallback machines are allowed, as they leave only while every balancer is heard, and completed
+          ones, as their turn is over. All other machines of the plan are refused. While the list of the plan's machines
+          is incomplete, any other machine may be in the plan and is refused.
+        """
         if host in self.excluded:
             return False
         match self.lease_state(now):
             case "cut off":
                 return host not in self.announced
             case "silent" if host not in self.fallback and host not in self.completed:
-                if any(name.startswith(BALANCER_PREFIX) for name in (*self.announced, *self.excluded, *self.names[:1])):
+                # A plan consists of balancers or of image servers, so one name of it tells which.
+                known_machines = (*self.announced, *self.excluded, *self.names[:1])
+                if any(name.startswith(BALANCER_PREFIX) for name in known_machines):
                     return True  # a plan of balancers excludes no image server
-                return host not in self.announced and len(self.names) == self.machine_count and host not in self.names
+                has_all_names = len(self.names) == self.machine_count
+                return host not in self.announced and has_all_names and host not in self.names
         return True
--- a/bramblestile/work/scheduler.py
+++ b/bramblestile/work/scheduler.py
@@ -246,8 +246,10 @@
     def _unconfirmed_reason(self, name: str, plan_id: str, machine: Machine, plan: PlanState, now: timedelta) -> str:
         """Return why a balancer may still send to a machine, or an empty string if it surely sends nothing there.
 
-        It sends nothing there if a poll of it has confirmed that, if it has left the fleet, or if it has been silent
-        for so long that its lease no longer lets it (see participant.py).
+        It sends nothing there if its last poll confirmed that, if it has left the fleet, or if its lease expired so
+        long ago that it refuses the machine by itself: see ``Participant.lease_state`` for the states ``cut off`` and
+        ``silent``, and ``Participant.allows`` for the machines that each refuses. ``plan_id`` is the plan that the
+        balancer has adopted according to the roster.
         """
         if name in self.departed:
             return ""
@@ -261,14 +263,19 @@
         silence = now - max(self.leading_since, last_poll.answered_at if last_poll is not None else self.leading_since)
         if silence <= LEASE_EXPIRED_AFTER:
             return "has not confirmed"
-        # Checked first: a balancer avoids this machine while it is cut off, but returns to it once it is silent.
+        # From here on the balancer's lease has expired: it is cut off, or silent.
+        # A silent balancer may send to the fallback, even to a machine that it refused as announced while cut off. So
+        # this check precedes the one of the announcement.
         if machine.name in plan.fallback():
             return f"not heard for {silence.total_seconds():.0f} s, and this machine is in its fallback"
         known_count = last_poll.announced_count if last_poll is not None and last_poll.plan_id == plan.id else 0
+        # Ranks below the count are announced. A balancer that knows of the announcement refuses the machine while it is
+        # cut off and while it is silent.
         if machine.rank < max(known_count, plan.acknowledged_count if plan_id == plan.id else 0):
             return ""
         if plan_id != plan.id:
             return f"not heard for {silence.total_seconds():.0f} s, and does not know of this plan"
+        # It may not know the announcement: it refuses the machine only once it is silent.
         return "" if silence > SILENT_AFTER else f"not heard for {silence.total_seconds():.0f} s"
 
     def _confirming_poll(self, machine: Machine, plan: PlanState) -> LastPoll | None:
