--- a/bramblestile/process/listeners.py
+++ b/bramblestile/process/listeners.py
@@ -174,7 +174,7 @@
         An inherited socket stays open for the other processes.
         """
         self._stopped = True
-        if self._wake_pipe is None:
+        if self._wake_pipe is None:  # the socket is not inherited
             sockets.shut_down(self._sock)
             self._sock.close()
             return
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -280,7 +280,10 @@
             self._gossip.send(recipient, b"r" + _encode(message))
 
     def _poll(self, current_time: timedelta) -> None:
-        """Send a poll with this balancer's state: mostly to the known leader, sometimes to a voter drawn at random."""
+        """Send a poll with this balancer's state: mostly to the known leader, sometimes to a voter drawn at random.
+
+        Only the leader replies; the random voter may be a new one that this balancer does not know yet.
+        """
         excluded = list(self.participant.excluded)
         quiesced = [
             h
@@ -351,7 +354,7 @@
             return
         try:
             loaded = json.loads(self._state_path.read_text())
-            if loaded["kept"] != FILE_VERSION:
+            if loaded["kept"] != FILE_VERSION:  # the key that holds the version of the file's format
                 raise ValueError("of another version")
             values = {
                 attribute: _from_plain(getattr(self.participant, attribute), loaded[key])
