--- a/bramblestile/cli/fleet.py
+++ b/bramblestile/cli/fleet.py
@@ -23,17 +23,17 @@
     """
 
 
-def get_json(ctx: click.Context, part: str, path: str) -> Any:
+def get_json(ctx: click.Context, command: str, path: str) -> Any:
     """Return the parsed JSON response of the management API to a GET request.
 
-    Raises OperationError if there is no successful response or it is not JSON; ``part`` is the command named in the
+    Raises OperationError if there is no successful response or it is not JSON; ``command`` is named in the
     message.
     """
-    body = send_call(ctx, part, "GET", path, max_bytes=MAX_RESPONSE_BYTES)
+    body = send_call(ctx, command, "GET", path, max_bytes=MAX_RESPONSE_BYTES)
     try:
         return json.loads(body)
     except ValueError as error:
-        raise OperationError(f"{part}: {error}") from None
+        raise OperationError(f"{command}: {error}") from None
 
 
 @group.command()
--- a/bramblestile/cli/work.py
+++ b/bramblestile/cli/work.py
@@ -35,6 +35,8 @@
     """Show the order in which the machines of FILE would leave service, or why they cannot. Changes nothing."""
     proposal = json.loads(_put(ctx, "plan", _read(file)))
     for number, name in enumerate(proposal["order"], 1):
+        # The refuge: the last machines, which leave only while the leader hears from every balancer. A balancer that
+        # is cut off may send to them.
         note = "  (only while every balancer is heard)" if name in proposal["refuge"] else ""
         click.echo(f"{number:4} {name:20} {proposal['hall'][name]}{note}")
     if proposal["busy"]:
--- a/bramblestile/lab/maintenance_simulation.py
+++ b/bramblestile/lab/maintenance_simulation.py
@@ -443,7 +443,7 @@
                 self._check_process(other)
 
     def _check_process(self, process: Process) -> None:
-        """Check that a balancer sends to no machine that is out, and has a machine to send to."""
+        """Raise InvariantError if a balancer process may send to a machine that is out, or has none to send to."""
         if not process.running or process.paused:
             return
         local_time, participant = self.lease_clock(process), process.participant
--- a/bramblestile/memory/connections.py
+++ b/bramblestile/memory/connections.py
@@ -215,9 +215,13 @@
                 transport.close()
 
     def _close(self, upward: threading.Thread) -> None:
-        """End both sides in the way in which the first one ended."""
+        """Close both sides, each with a reset if the opposite side was reset, else in order.
+
+        A connection that was moved or rejected has sent the client a last message; a reset could discard it unread, so
+        the client's side is then closed in order in any case.
+        """
         self.closed.set()
-        # The host's end is passed on at once; shutting both sides down wakes the other thread.
+        # The client learns at once that the host has closed. Shutting both sockets down wakes the other thread.
         if not self.upstream_reset:
             sockets.shut_down(self.downstream)
         else:
--- a/bramblestile/memory/decisions.py
+++ b/bramblestile/memory/decisions.py
@@ -100,7 +100,7 @@
         self._lock = threading.Lock()
         self._timers_changed = threading.Condition(threading.Lock())
         self._timers: list[tuple[timedelta, int, str]] = []  # a heap: due time, sequence number, token
-        self._timers_set = 0
+        self._timer_sequence = 0  # orders timers that are due at the same time
         self._active_requests: dict[str, ActiveRequest] = {}
         self.on_probe: Callable[[str], None] = lambda host: None
         self.on_move: Callable[[str], None] = lambda connection: None
@@ -243,9 +243,9 @@
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             with self._timers_changed:
-                self._timers_set += 1
+                self._timer_sequence += 1
                 heapq.heappush(
-                    self._timers, (now() + from_microseconds(action.after_us), self._timers_set, action.token)
+                    self._timers, (now() + from_microseconds(action.after_us), self._timer_sequence, action.token)
                 )
                 self._timers_changed.notify()
         elif isinstance(action, api.Probe):
--- a/bramblestile/operations/management_api.py
+++ b/bramblestile/operations/management_api.py
@@ -117,7 +117,8 @@
         def suspend_or_resume_host(orders: Orders) -> Orders:
             """Return the operator's orders with this host suspended or resumed.
 
-            Resuming needs the host's last start, as a host restarted while it was suspended begins its slow start then.
+            Resuming needs the time of the host's last start: the slow start of a host that was restarted while it was
+            suspended counts from that time.
             """
             return (
                 orders.suspend(host, now())
--- a/bramblestile/process/front.py
+++ b/bramblestile/process/front.py
@@ -272,7 +272,7 @@
             # Without discovery, the list in the file is the cluster.
             self.decisions.update_list(api.ListMode.COMPLETE, config.known_hosts)
         elif self.discovery_watch is None:
-            self.discovery_watch = self._make_watch(config.discovery, None)
+            self.discovery_watch = self._make_watch(config.discovery, version=None)  # requests the whole list
             self._start_watch(self.discovery_watch)
             self.discovery_watch.trigger()
         elif config.discovery != old:
--- a/bramblestile/trace/merging.py
+++ b/bramblestile/trace/merging.py
@@ -101,7 +101,10 @@
 
 
 def merge_records(inputs: Sequence[MergeInput]) -> Iterator[Record]:
-    """Make the second pass: yield all records by corrected time, ties in the order of the files."""
+    """Yield all records by corrected time, ties in the order of the files.
+
+    This is the second pass over the files; ``align`` makes the first, which finds the clock corrections.
+    """
     queue: list[tuple[int, int, int, BlockLocation]] = []
     for index, source in enumerate(inputs):
         for block_index, location in enumerate(source.reader.block_locations()):
--- a/bramblestile/trace/story.py
+++ b/bramblestile/trace/story.py
@@ -35,7 +35,7 @@
 
 
 def format_duration(us: float) -> str:
-    """Format a duration for display."""
+    """Return a duration as text: seconds or milliseconds with one decimal, or whole microseconds, with the unit."""
     if us >= 10_000_000:
         return f"{us / 1e6:.1f} s"
     return f"{us / 1000:.1f} ms" if us >= 1000 else f"{us:.0f} us"
--- a/bramblestile/work/plan_state.py
+++ b/bramblestile/work/plan_state.py
@@ -137,7 +137,11 @@
         return [m.name for m in self.machines.values() if m.rank < self.announced_count and m.stage not in FINAL_STAGES]
 
     def fallback(self) -> tuple[str, ...]:
-        """Return the machines that a silent balancer may still send to."""
+        """Return the fallback, called ``refuge`` in the API: the last machines of the order.
+
+        A balancer that is cut off from the leader may still send to them, as they leave service only while the leader
+        hears from every balancer.
+        """
         return self.names[len(self.names) - self.fallback_count :]
 
 
--- a/bramblestile/work/planner.py
+++ b/bramblestile/work/planner.py
@@ -70,6 +70,8 @@
 def order_machines(request: PlanRequest, fleet: Fleet) -> tuple[tuple[str, ...], int]:
     """Return the order in which the machines leave, and how many of the last ones are the fallback.
 
+    The fallback (``refuge`` in the API) is defined at ``PlanState.fallback``.
+
     Halls follow one another, the one with the least load first, and so do the machines of a hall: the clients of the
     first machines can only go to machines whose turn is still to come, so there should be few of them. Balancers that
     vote go last, and the leader last of all.
@@ -236,14 +238,16 @@
 def headroom_block(name: str, plan: PlanState, fleet: Fleet, displaced_load: float = 0.0) -> str:
     """Return why this machine's clients find no lasting place; empty if they do, or if the machine leaves regardless.
 
-    A lasting place is a machine whose turn is over or never comes; clients moved elsewhere are moved twice. The first
-    few machines leave regardless, and so does any machine when waiting would change nothing. Without this rule six of
-    40 machines left at once from the start and moved each client 1.15 times on average, as the clients of the first six
-    had nowhere else to go.
+    A lasting place is a machine whose turn is over or never comes; clients moved elsewhere are moved twice. Without
+    this wait, six of 40 machines left at once from the start, and each client was moved 1.15 times on average.
+
+    The first few machines (``EARLY_SHARE``) leave regardless, as there may be no lasting place yet. So does any machine
+    while no other is leaving, out, coming back or cold, as waiting would then free no capacity.
     """
     stages = [m.stage for m in plan.machines.values()]
     begun = sum(stage not in (Stage.WAITING, Stage.CLAIMED, Stage.DROPPED) for stage in stages)
     none_back = begun == sum(stage in IN_PROGRESS_STAGES for stage in stages)
+    # A held machine waits for an operator, so it may free no capacity; a cold one gains capacity as it warms.
     nothing_moves = not any(stage in IN_PROGRESS_STAGES - {Stage.HELD} | {Stage.COLD} for stage in stages)
     if nothing_moves or (none_back and begun < EARLY_SHARE * len(plan.names)):
         return ""
--- a/bramblestile/work/service.py
+++ b/bramblestile/work/service.py
@@ -602,6 +602,7 @@
         if call.verb == "start" and (plan.is_active or self._queued_entries):
             reason = f"the plan {plan.id} is {plan.status}" if plan.is_active else "a plan is being written"
             raise PlanError(f"{reason}: one at a time")
+        # Members that take no part, except the bystanders: those for which the operator vouches.
         nonparticipants = sorted(self.scheduler.nonparticipants.difference(request.bystanders))
         if nonparticipants and not request.targets_balancers:
             raise PlanError(
@@ -615,6 +616,7 @@
                 json.dumps(
                     {
                         "order": names,
+                        # The fallback: machines that leave only while the leader hears from every balancer.
                         "refuge": names[len(names) - fallback_count :],
                         "hall": {n: fleet[n].hall for n in names},
                         "busy": plan.id or None,
--- a/vanegw/interface.py
+++ b/vanegw/interface.py
@@ -112,7 +112,7 @@
     dedup_scope: Scope = Scope.ALL
     memory_span_us: int = 0  # for which backends remember a keyed request, to drop its repeats
     worth: float = 1.0
-    message_aim_us: float = 0.0  # that a message should take at most; 0: no aim
+    message_aim_us: float = 0.0  # latency target of one message on an open connection; 0: no target
 
     def __post_init__(self) -> None:
         _require(isinstance(self.name, str) and self.name != "", "name", self.name)
@@ -141,9 +141,10 @@
 class Settings:
     """The settings of a balancer. Prices that are not set are 0.
 
-    A backend is cold for ``cold_us`` after its start, while its capacity grows from the part ``cold_from`` to the
-    whole. Within ``fall_us``, all balancers together may open ``fall_multiple`` x ``fall_us`` / ``cold_us`` times the
-    connections that the cold backends can hold by then.
+    A backend is cold for ``cold_us`` after its start, while its capacity grows from the share ``cold_from`` (above 0,
+    up to 1) to the whole. Any time window of ``fall_us`` has a budget of connections to cold backends: all balancers
+    together may open ``fall_multiple`` x ``fall_us`` / ``cold_us`` times the connections that the cold backends can
+    hold.
 
     Raises ValueError for a field out of range; the message begins with the field's name.
     """
@@ -161,17 +162,17 @@
     pass_through: bool = False
     try_limit: int = 3  # attempts for one request
     max_retry_after_us: int = 0
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0  # factor of the worth of requests over their tenant's share; unused by Balancer
     counted_by_work: bool = False
     cross_zone_price: float = 0.0
     move_price: float = 0.0
     probe_price: float = 0.0
-    cold_from: float = 1.0
+    cold_from: float = 1.0  # share of its capacity that a backend has at its start
     cold_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 0
+    fall_multiple: float = 1.0  # factor of the budget of connections to cold backends
+    fall_us: int = 0  # time window of that budget
     drain_grace_us: int = 0  # before the connections of a draining backend are moved
-    must_ask_in_us: int = 10_000_000
+    must_ask_in_us: int = 10_000_000  # longest wait before a new Subscribe; Balancer's own waits are fixed
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "classes", self.classes)
--- a/vanegw/recording.py
+++ b/vanegw/recording.py
@@ -197,6 +197,7 @@
             candidates.append(
                 make_candidate(
                     name,
+                    # The division makes the integer a float, which is the type of the field.
                     None if weight is None else (int(weight * scale + 0.5) or 1) / 1,
                     backend.load,
                     backend.load_at_us,
--- a/vanegw/rules.py
+++ b/vanegw/rules.py
@@ -205,7 +205,7 @@
         self.min_objective_us = min(c.objective_us for c in settings.classes)
         # A reported load is trusted fully for the longest time that a client may wait, and less and less after that.
         self.load_lifetime_us = max(c.deadline_us for c in settings.classes)
-        # The shortest target for the time that a message takes at a backend; 0: a class has no target.
+        # Message aim: the latency target of one message. This is the shortest of all classes; 0: a class has none.
         self.min_message_aim_s = min(c.message_aim_us for c in settings.classes) / 1e6
         self.quotas = {t.name: t.quota_connections for t in settings.tenants if t.quota_connections > 0}
 
@@ -770,7 +770,7 @@
                 self.average_load += (counted_load - self.average_load) / self.report_count
                 excessive_load = value * REPORTED_OVERLOAD_FACTOR if is_share and value > OVERLOAD else 0.0
                 if report.latency_ms is not None and _is_plausible(report.latency_ms):
-                    # A backlog outlives the load that caused it, and until it is gone all messages miss their aim.
+                    # A backlog outlives its cause; until it is gone, every message exceeds its latency target (aim).
                     delay_load = self._load_from_delay(backend, report.latency_ms / 1000, self.min_message_aim_s)
                     excessive_load = max(excessive_load, delay_load)
                 if excessive_load and self.now_us - backend.last_shed_at_us >= SHED_INTERVAL_US:
