--- a/bramblestile/life.py
+++ b/bramblestile/life.py
@@ -1,4 +1,4 @@
-"""The life of one request, from its first line to its one answer or to the end of its connection."""
+"""The life of one request, from its first line to its single answer or to the end of its connection."""
 
 from __future__ import annotations
 
@@ -9,30 +9,36 @@
 from functools import partial
 from typing import Protocol
 
-from bramblestile.clock import NOTHING, now
-from bramblestile.dialect import Answer, Asked, Downstream, NotUp, Upstream
+from bramblestile.clock import ZERO_DURATION, now
 from bramblestile.log import Log
 from bramblestile.memory.cluster import Cluster
-from bramblestile.memory.connections import Connections, Halt, Observer, Standing
+from bramblestile.memory.connections import ConnectionObserver, Connections, PauseSignal, ProxiedConnection
 from bramblestile.memory.counters import Counters
-from bramblestile.memory.decisions import Decisions, Visit, micros, span
-from bramblestile.tracing import Tracing
+from bramblestile.memory.decisions import ActiveRequest, Decisions, from_microseconds, to_microseconds
+from bramblestile.protocol import ClientRequest, DialHost, Downstream, NotEstablished, UpstreamAnswer
+from bramblestile.tracing import TracerHandle
 from vanegw import interface as api
 from vanegw.interface import Status
 
 
-class Heir(Protocol):
-    """Another process of this balancer, which may take over what stands."""
+class ConnectionSuccessor(Protocol):
+    """Another process of this balancer, which may take over established connections."""
 
     @property
-    def halt(self) -> Halt: ...
+    def pause_signal(self) -> PauseSignal:
+        """The signal that pauses connections for the handover."""
 
-    def take(self, standing: Standing, request: api.Request) -> bool:
-        """Whether it carries the frozen connection on from now on."""
+    def hand_over(self, connection: ProxiedConnection, request: api.Request) -> bool:
+        """Send a paused connection to the other process and return whether it goes on with it."""
 
 
-class House:
-    """What every request's life needs, made once at the start."""
+class ServingContext:
+    """What all requests of one front share.
+
+    ``connect_timeout`` limits each TCP connect to an upstream host, ``on_host_draining`` is called when an upstream
+    host announces that it drains, ``dial`` connects to a host, and ``name`` is the front's name. ``successor`` is the
+    process that takes established connections over when this one stops, if there is one.
+    """
 
     def __init__(
         self,
@@ -40,235 +46,274 @@
         cluster: Cluster,
         connections: Connections,
         counters: Counters,
-        observer: Observer,
-        connect_within: timedelta,
-        drains: Callable[[str], None],
-        dial: Upstream,
-        tracing: Tracing | None = None,
+        observer: ConnectionObserver,
+        connect_timeout: timedelta,
+        on_host_draining: Callable[[str], None],
+        dial: DialHost,
+        tracing: TracerHandle | None = None,
         name: str = "",
     ) -> None:
-        self.heir: Heir | None = None  # who goes on with what stands when this process ends; None: nobody
+        self.successor: ConnectionSuccessor | None = None
         self.decisions = decisions
         self.cluster = cluster
         self.connections = connections
         self.counters = counters
         self.observer = observer
-        self.connect_within = connect_within
-        self.drains = drains  # an upstream host has said itself that it drains
+        self.connect_timeout = connect_timeout
+        self.on_host_draining = on_host_draining
         self.dial = dial
-        self.tracing = tracing or Tracing()
+        self.tracing = tracing or TracerHandle()
         self.name = name
         self.log = Log(front=name)
 
 
-class _Told:
-    """One request's news: each is counted, traced and logged here, so that the three can never differ."""
+class _RequestReporter:
+    """Counts, traces and logs the events of one request, in one place so that the three always agree."""
 
-    def __init__(self, house: House, request: api.Request, asked: Asked, arrived: timedelta) -> None:
-        self.house = house
+    def __init__(
+        self, context: ServingContext, request: api.Request, client_request: ClientRequest, arrived: timedelta
+    ) -> None:
+        self.context = context
         self.request = request
-        self.log = house.log.bind(id=asked.id)
+        self.log = context.log.bind(id=client_request.id)
         self.arrived = arrived
-        house.tracing.to.request(self.arrived, house.name, request, asked.bound_to)
-        self.log.debug("request", cls=asked.cls, tenant=asked.tenant)
+        context.tracing.current.request(self.arrived, context.name, request, client_request.bound_to)
+        self.log.debug("request", cls=client_request.cls, tenant=client_request.tenant)
 
     def answer(
         self, at: timedelta, outcome: str, attempts: int, host: str | None = None, wait_us: int | None = None
     ) -> None:
-        """The one answer; ``left`` is a downstream that waits for none."""
-        self.house.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
-        self.house.tracing.to.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
+        """Report the single answer; the outcome "left" is a downstream that disconnected before it."""
+        self.context.counters.add("downstream_left" if outcome == "left" else f"answered_{outcome}")
+        self.context.tracing.current.answer(at, self.request, outcome, attempts, at - self.arrived, host, wait_us)
         self.log.debug("answer", outcome=outcome, attempts=attempts, host=host)
 
-    def attempt(self, at: timedelta, number: int, host: str, status: str, took_us: int, detail: str = "") -> None:
-        self.house.tracing.to.attempt(at, self.request.id, number, host, status, took_us, detail)
-        self.log.debug("attempt", number=number, host=host, status=status, took_us=took_us, detail=detail)
+    def attempt(self, at: timedelta, index: int, host: str, status: str, took_us: int, detail: str = "") -> None:
+        """Report how a request's attempt with this index, from 0, ended, or that its connection is up."""
+        self.context.tracing.current.attempt(at, self.request.id, index, host, status, took_us, detail)
+        self.log.debug("attempt", number=index, host=host, status=status, took_us=took_us, detail=detail)
 
 
-def live(house: House, downstream: Downstream, asked: Asked) -> None:
-    """Top to bottom: admitted, sent as the module chooses, answered once; then carried until it ends."""
-    house.counters.add("requests")
+def serve_request(context: ServingContext, downstream: Downstream, client_request: ClientRequest) -> None:
+    """Serve a request to its end: send it as the decision module chooses, answer once, then forward until it ends."""
+    context.counters.add("requests")
     arrived = now()
     request = api.Request(
-        asked.id,
-        asked.cls,
-        micros(max(asked.wait, NOTHING)),
-        asked.tenant,
-        asked.key,
-        asked.group,
-        asked.load_hint,
-        asked.is_retry,
-        asked.is_return,
+        client_request.id,
+        client_request.cls,
+        to_microseconds(max(client_request.timeout, ZERO_DURATION)),
+        client_request.tenant,
+        client_request.key,
+        client_request.group,
+        client_request.load_hint,
+        is_retry=client_request.is_retry,
+        is_return=client_request.is_reconnect,
     )
-    visit = house.decisions.enter(asked.id, arrived + asked.wait)
-    if visit is None:
-        # Not told as a request: its id is another's, and its story would be mixed up with that one's.
-        house.counters.add("ids_in_use")
-        house.log.seldom("id in use", id=asked.id)
+    active = context.decisions.register(client_request.id, arrived + client_request.timeout)
+    if active is None:
+        # Not reported as a request: its id belongs to another one, and a trace would mix the two up.
+        context.counters.add("ids_in_use")
+        context.log.warning_rate_limited("id in use", id=client_request.id)
         downstream.fail()
         return
-    told = _Told(house, request, asked, arrived)
+    reporter = _RequestReporter(context, request, client_request, arrived)
     try:
-        if asked.bound_to is not None:
-            _resume(house, downstream, asked, request, visit, told)
+        if client_request.bound_to is not None:
+            _resume(context, downstream, client_request, request, active, reporter)
             return
-        house.decisions.tell(request)
-        number = 0
+        context.decisions.handle_event(request)
+        attempt_index = 0  # equals the number of attempts that have failed so far
         while True:
-            choice = visit.next()
-            if downstream.has_left():
-                told.answer(now(), "left", number)
-                house.decisions.tell(api.ClientGone(asked.id))
+            choice = active.next_choice()
+            if downstream.has_disconnected():
+                reporter.answer(now(), "left", attempt_index)
+                context.decisions.handle_event(api.ClientGone(client_request.id))
                 return
             if isinstance(choice, api.Refuse):
-                told.answer(now(), "refused", number, wait_us=choice.retry_after_us)
-                downstream.refuse(span(choice.retry_after_us))
+                reporter.answer(now(), "refused", attempt_index, wait_us=choice.retry_after_us)
+                downstream.refuse(from_microseconds(choice.retry_after_us))
                 return
             if isinstance(choice, api.Fail):
-                told.answer(now(), "failed", number)
+                reporter.answer(now(), "failed", attempt_index)
                 downstream.fail()
                 return
             sent = now()
-            answer = _send(house, downstream, choice)
+            answer = _send(context, downstream, choice)
             at = now()
-            took = micros(at - sent)
-            if isinstance(answer, NotUp):
-                house.counters.add(f"upstream_{answer.status.name.lower()}")
-                told.attempt(at, number, choice.backend, answer.status.name.lower(), took, answer.detail)
+            took = to_microseconds(at - sent)
+            if isinstance(answer, NotEstablished):
+                context.counters.add(f"upstream_{answer.status.name.lower()}")
+                reporter.attempt(at, attempt_index, choice.backend, answer.status.name.lower(), took, answer.detail)
                 if answer.host_drains:
-                    house.drains(choice.backend)
+                    context.on_host_draining(choice.backend)
                 if answer.downstream_left:
-                    told.answer(at, "left", number + 1)
-                    house.decisions.tell(api.ClientGone(asked.id))
-                house.decisions.tell(
-                    api.Outcome(asked.id, number, choice.backend, answer.status, took, finished=answer.downstream_left)
+                    reporter.answer(at, "left", attempt_index + 1)
+                    context.decisions.handle_event(api.ClientGone(client_request.id))
+                context.decisions.handle_event(
+                    api.Outcome(
+                        client_request.id,
+                        attempt_index,
+                        choice.backend,
+                        answer.status,
+                        took,
+                        finished=answer.downstream_left,
+                    )
                 )
                 if answer.downstream_left:
                     return
-                number += 1
+                attempt_index += 1
                 continue
-            told.attempt(at, number, choice.backend, "up", took)
-            _stand(house, answer.standing, choice.backend, visit, told, at, number + 1)
-            house.decisions.tell(api.Opened(asked.id, number, choice.backend, took))
-            status = _carry(house, answer.standing, at, request)
-            house.decisions.tell(
-                api.Outcome(asked.id, number, choice.backend, status, micros(now() - sent), finished=True)
+            reporter.attempt(at, attempt_index, choice.backend, "up", took)
+            _establish(context, answer.connection, choice.backend, active, reporter, at, attempt_index + 1)
+            context.decisions.handle_event(api.Opened(client_request.id, attempt_index, choice.backend, took))
+            status = _forward(context, answer.connection, at, request)
+            context.decisions.handle_event(
+                api.Outcome(
+                    client_request.id,
+                    attempt_index,
+                    choice.backend,
+                    status,
+                    to_microseconds(now() - sent),
+                    finished=True,
+                )
             )
             return
     finally:
-        house.decisions.release(visit)
+        context.decisions.unregister(active)
 
 
-def _send(house: House, downstream: Downstream, choice: api.Attempt) -> Answer:
-    host = house.cluster.find(choice.backend)
-    # The list may have changed since the module chose; nothing reaches a host that is not in it.
-    if host is None or not house.cluster.takes_work(host):
-        return NotUp(Status.NO_ROUTE)
-    house.counters.add("upstream_requests")
+def _send(context: ServingContext, downstream: Downstream, choice: api.Attempt) -> UpstreamAnswer:
+    """Make the upstream request that the module chose."""
+    host = context.cluster.find(choice.backend)
+    # The list may have changed since the module chose; nothing is sent to a host that is not in it.
+    if host is None or not context.cluster.accepts_requests(host):
+        return NotEstablished(Status.NO_ROUTE)
+    context.counters.add("upstream_requests")
     return downstream.upstream_request(
-        partial(house.dial, host), span(choice.until_us), house.connect_within, partial(house.cluster.sending, host)
+        partial(context.dial, host),
+        from_microseconds(choice.until_us),
+        context.connect_timeout,
+        partial(context.cluster.guard_send, host),
     )
 
 
-def _stand(
-    house: House,
-    standing: Standing,
+def _establish(
+    context: ServingContext,
+    connection: ProxiedConnection,
     host: str,
-    visit: Visit,
-    told: _Told,
+    active: ActiveRequest,
+    reporter: _RequestReporter,
     at: timedelta,
     attempts: int,
     resumed: bool = False,
 ) -> None:
-    """From here on it can be moved: whoever moves it finds its host."""
-    told.answer(at, "served", attempts, host)
-    _hold(house, standing, host, visit)
-    house.tracing.to.stand(at, standing.id, host, resumed)
+    """Report a connection as established and register it, so that it can be moved."""
+    reporter.answer(at, "served", attempts, host)
+    _register(context, connection, host, active)
+    context.tracing.current.connection_established(at, connection.id, host, resumed)
 
 
-def _hold(house: House, standing: Standing, host: str, visit: Visit) -> None:
-    standing.host = visit.host = host
-    if house.heir is not None and isinstance(standing.upstream, socket.socket):
-        standing.halt = house.heir.halt
-    house.connections.add(standing)
+def _register(context: ServingContext, connection: ProxiedConnection, host: str, active: ActiveRequest) -> None:
+    connection.host = active.host = host
+    if context.successor is not None and isinstance(connection.upstream, socket.socket):
+        connection.pause_signal = context.successor.pause_signal
+    context.connections.add(connection)
 
 
-def _carry(house: House, standing: Standing, began: timedelta, request: api.Request) -> Status:
-    """From its stand, at ``began``, to its end here: that of the connection, or another process goes on with it."""
+def _forward(context: ServingContext, connection: ProxiedConnection, began: timedelta, request: api.Request) -> Status:
+    """Forward a connection, established at ``began``, until it ends or another process takes it over."""
     try:
-        while (status := standing.carry(house.observer)) is None:
-            if house.heir is not None and house.heir.take(standing, request):
-                standing.let_go()
+        while (status := connection.forward(context.observer)) is None:
+            if context.successor is not None and context.successor.hand_over(connection, request):
+                connection.release()
                 break
-            standing.thaw()
+            connection.resume()
     finally:
-        house.connections.remove(standing)
+        context.connections.remove(connection)
     ended = "handed_on" if status is None else status.name.lower()
-    house.counters.add("moved" if standing.moved else "handed_on" if status is None else f"ended_{ended}")
+    context.counters.add("moved" if connection.moved else "handed_on" if status is None else f"ended_{ended}")
     at = now()
-    house.tracing.to.ended(at, standing.id, standing.host, ended, at - began, standing.moved)
+    context.tracing.current.connection_ended(at, connection.id, connection.host, ended, at - began, connection.moved)
     return status or Status.CANCELLED
 
 
-def adopt(house: House, standing: Standing, request: api.Request, run: Callable[[Callable[[], None]], None]) -> bool:
-    """Goes on with a connection that another process has carried, in a thread that ``run`` starts. False: not here."""
-    visit = house.decisions.enter(request.id, now())
-    if visit is None:
+def adopt_connection(
+    context: ServingContext,
+    connection: ProxiedConnection,
+    request: api.Request,
+    start_thread: Callable[[Callable[[], None]], None],
+) -> bool:
+    """Take over a connection from another process, in a thread that ``start_thread`` starts.
+
+    Returns False where the request's id is in use here or no thread can be started.
+    """
+    active = context.decisions.register(request.id, now())
+    if active is None:
         return False
     at = now()
 
-    def carry() -> None:
+    def forward() -> None:
         try:
-            house.counters.add("adopted")
-            house.tracing.to.stand(at, standing.id, standing.host, True)
-            _inherit(house, standing, request, at)
+            context.counters.add("adopted")
+            context.tracing.current.connection_established(at, connection.id, connection.host, True)
+            _forward_inherited(context, connection, request, at)
         finally:
-            house.decisions.release(visit)
+            context.decisions.unregister(active)
 
-    _hold(house, standing, standing.host, visit)
+    _register(context, connection, connection.host, active)
     try:
-        run(carry)
-    except RuntimeError:  # no thread to be had
-        house.connections.remove(standing)
-        house.decisions.release(visit)
+        start_thread(forward)
+    except RuntimeError:  # no thread can be started
+        context.connections.remove(connection)
+        context.decisions.unregister(active)
         return False
     return True
 
 
-def _inherit(house: House, standing: Standing, request: api.Request, at: timedelta) -> None:
-    """From its stand to its end: a connection that the module has not placed."""
-    house.decisions.tell(api.Inherited(request, standing.host))
-    status = _carry(house, standing, at, request)
-    house.decisions.tell(api.Outcome(request.id, 0, standing.host, status, 0, finished=True))
+def _forward_inherited(
+    context: ServingContext, connection: ProxiedConnection, request: api.Request, at: timedelta
+) -> None:
+    """Forward to its end a connection that the decision module has not placed."""
+    context.decisions.handle_event(api.Inherited(request, connection.host))
+    status = _forward(context, connection, at, request)
+    context.decisions.handle_event(api.Outcome(request.id, 0, connection.host, status, 0, finished=True))
 
 
 def _resume(
-    house: House, downstream: Downstream, asked: Asked, request: api.Request, visit: Visit, told: _Told
+    context: ServingContext,
+    downstream: Downstream,
+    client_request: ClientRequest,
+    request: api.Request,
+    active: ActiveRequest,
+    reporter: _RequestReporter,
 ) -> None:
-    """A connection that its upstream host already holds: it goes there as it is, with no choice to make."""
-    name = asked.bound_to or ""
+    """Serve a request whose connection an upstream host already holds: it goes to that host, without a decision."""
+    name = client_request.bound_to or ""
     sent = now()
-    host = house.cluster.find(name)
-    answer: Answer = (
-        NotUp(Status.NO_ROUTE)
+    host = context.cluster.find(name)
+    answer: UpstreamAnswer = (
+        NotEstablished(Status.NO_ROUTE)
         if host is None
         else downstream.upstream_request(
-            partial(house.dial, host), sent + asked.wait, asked.wait, partial(nullcontext, True)
+            partial(context.dial, host),
+            sent + client_request.timeout,
+            client_request.timeout,
+            partial(nullcontext, True),
         )
     )
     at = now()
-    took = micros(at - sent)
-    house.counters.add("resumed")
-    if isinstance(answer, NotUp):
+    took = to_microseconds(at - sent)
+    context.counters.add("resumed")
+    if isinstance(answer, NotEstablished):
         status = answer.status.name.lower()
-        house.counters.add(f"resume_{status}")
-        told.attempt(at, 0, name, status, took, answer.detail)
+        context.counters.add(f"resume_{status}")
+        reporter.attempt(at, 0, name, status, took, answer.detail)
         if answer.downstream_left:
-            told.answer(at, "left", 1)
+            reporter.answer(at, "left", 1)
         else:
-            told.answer(at, "failed", 1)
+            reporter.answer(at, "failed", 1)
             downstream.fail()
         return
-    told.attempt(at, 0, name, "up", took)
-    _stand(house, answer.standing, name, visit, told, at, 1, resumed=True)
-    _inherit(house, answer.standing, request, at)
+    reporter.attempt(at, 0, name, "up", took)
+    _establish(context, answer.connection, name, active, reporter, at, 1, resumed=True)
+    _forward_inherited(context, answer.connection, request, at)
--- /dev/null
+++ b/bramblestile/protocol.py
@@ -0,0 +1,96 @@
+"""The interface between the life of a request and a wire protocol. Every front's protocol implements it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from contextlib import AbstractContextManager
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import Protocol
+
+from bramblestile.memory.cluster import UpstreamHost
+from bramblestile.memory.connections import ProxiedConnection
+from bramblestile.sockets import Transport
+from vanegw.interface import Status
+
+
+@dataclass(slots=True, frozen=True)
+class ClientRequest:
+    """A downstream's request for a connection. ``timeout`` is how long the client waits for the answer."""
+
+    id: str
+    cls: str
+    timeout: timedelta
+    tenant: str | None = None
+    key: int | None = None
+    group: int | None = None
+    load_hint: float | None = None
+    is_retry: bool = False  # the client repeats a request that was refused or failed
+    is_reconnect: bool = False  # the client comes back after an established connection was moved or cut
+    bound_to: str | None = None  # the upstream host that already holds this connection
+
+
+@dataclass(slots=True, frozen=True)
+class Established:
+    """The upstream host has accepted the connection."""
+
+    connection: ProxiedConnection
+
+
+@dataclass(slots=True, frozen=True)
+class NotEstablished:
+    """An upstream request ended without a connection."""
+
+    status: Status
+    downstream_left: bool = False
+    host_drains: bool = False  # the upstream host announced that it drains
+    detail: str = ""  # what the status does not tell, for the trace and the log
+
+
+UpstreamAnswer = Established | NotEstablished
+
+
+class Downstream(Protocol):
+    """The client's side of one request, which also makes its upstream requests."""
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed or reset its connection."""
+
+    def refuse(self, retry_after: timedelta) -> None:
+        """Send the local reply "refused": retrying is harmless. A ``retry_after`` of 0 names no time."""
+
+    def fail(self) -> None:
+        """Send the local reply "failed": the request may have run."""
+
+    def upstream_request(
+        self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
+    ) -> UpstreamAnswer:
+        """Make one upstream request, which must be answered before ``until``.
+
+        ``send_guard`` is held after dialling, while the first bytes are written.
+        """
+
+
+class Dial(Protocol):
+    """Connects to the upstream host that was chosen."""
+
+    def __call__(self, connect_timeout: timedelta, until: timedelta) -> Transport:
+        """Return a connected socket, or a channel over it.
+
+        ``connect_timeout`` limits the TCP connect; everything that precedes the first byte of the request must be done
+        before ``until``. Raises OSError; a DialError tells whether the host was contacted.
+        """
+
+
+# Dials an upstream host; the durations are those of Dial.__call__.
+DialHost = Callable[[UpstreamHost, timedelta, timedelta], Transport]
+
+
+class SendGuard(Protocol):
+    """Creates the context manager that is held while the first bytes of an upstream request are written.
+
+    It yields whether they may still be sent.
+    """
+
+    def __call__(self) -> AbstractContextManager[bool]:
+        """Return a new context manager."""
--- a/bramblestile/tls/trust.py
+++ b/bramblestile/tls/trust.py
@@ -1,4 +1,4 @@
-"""An operator's files, read whole or refused whole, as what handshakes need of them."""
+"""The trust store: an operator's certificate files, loaded as a whole or rejected as a whole."""
 
 from __future__ import annotations
 
@@ -14,90 +14,97 @@
 from cryptography import x509
 
 from bramblestile.tls import certificates
-from bramblestile.tls.certificates import UnreadableError
-from bramblestile.tls.judging import Facts, Revoked
+from bramblestile.tls.certificates import CertificateParseError
+from bramblestile.tls.verification import CertificateInfo, RevocationList
 
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-_numbers = itertools.count(1)
+_store_numbers = itertools.count(1)
 
 
-class TrustError(Exception):
-    """The text names the key of the configuration and the file, in one line."""
+class TlsFilesError(Exception):
+    """A file cannot be used. The text is one line with the configuration key, the file and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
-class Files:
-    """Where an operator keeps them. ``unverified`` takes any certificate, or none that is sound."""
+class TlsFiles:
+    """The configured files. ``skip_verification`` accepts hosts with any certificate, valid or not."""
 
     ca: Path | None
     cert: Path | None = None
     key: Path | None = None
     crl: Path | None = None
-    least: str = "1.2"
-    unverified: bool = False
+    min_version: str = "1.2"
+    skip_verification: bool = False
 
     def paths(self) -> tuple[Path, ...]:
+        """Return the paths of all configured files."""
         return tuple(p for p in (self.ca, self.cert, self.key, self.crl) if p is not None)
 
 
 @dataclass(slots=True, frozen=True)
-class Trust:
-    """One state of the files. A session belongs to the context that it was made with, so to one ``Trust``."""
+class TrustStore:
+    """The files as they were at one moment. A TLS session belongs to the context, and so to the store, it began with.
+
+    OpenSSL checks DNS names and IP addresses with ``hostname_context``. URIs are checked by ``verification``, with
+    ``uri_context``. ``snapshot`` holds the configuration and the bytes of all files, so that a file that was only
+    touched is not taken for a changed one.
+    """
 
     number: int
-    named: ssl.SSLContext  # OpenSSL checks the name: DNS and IP
-    nameless: ssl.SSLContext  # we check it: URI
-    revoked: Revoked
-    own: tuple[Facts, ...]  # the client's chain
-    authorities: tuple[Facts, ...]
-    raw: tuple[bytes, ...] = field(repr=False)  # by which a file that was only touched is told from a new one
-    unverified: bool = False
-
-    def expiring(self, now: datetime, within: timedelta) -> list[str]:
-        """A line for each of our own certificates that has expired, or will within the span."""
-        said = []
-        for what, facts in (
-            *(("client certificate", f) for f in self.own[:1]),
-            *(("authority", f) for f in self.authorities),
+    hostname_context: ssl.SSLContext
+    uri_context: ssl.SSLContext
+    revoked: RevocationList
+    client_chain: tuple[CertificateInfo, ...]
+    authorities: tuple[CertificateInfo, ...]
+    snapshot: tuple[bytes, ...] = field(repr=False)
+    skip_verification: bool = False
+
+    def expiry_warnings(self, now: datetime, warning_period: timedelta) -> list[str]:
+        """Return a line for each certificate of ours that has expired or expires within the warning period."""
+        warnings = []
+        for role, certificate in (
+            *(("client certificate", c) for c in self.client_chain[:1]),
+            *(("authority", c) for c in self.authorities),
         ):
-            left = facts.not_after - now
-            if left <= within:
-                when = (
-                    f"expired {facts.not_after:%Y-%m-%d %H:%M}Z"
-                    if left < timedelta(0)
-                    else (f"expires {facts.not_after:%Y-%m-%d %H:%M}Z, in {left.days} d")
+            remaining = certificate.not_after - now
+            if remaining <= warning_period:
+                expiry = (
+                    f"expired {certificate.not_after:%Y-%m-%d %H:%M}Z"
+                    if remaining < timedelta(0)
+                    else (f"expires {certificate.not_after:%Y-%m-%d %H:%M}Z, in {remaining.days} d")
                 )
-                said.append(f"{what} {facts.subject}: {when}")
-        return said
+                warnings.append(f"{role} {certificate.subject}: {expiry}")
+        return warnings
 
 
 def _read(key: str, path: Path) -> bytes:
     try:
         with open(path, "rb") as file:
-            raw = file.read(certificates.MOST_PEM + 1)
+            content = file.read(certificates.MAX_PEM_BYTES + 1)
     except OSError as error:
-        raise TrustError(f"{key}: {path}: {error.strerror}") from None
-    if len(raw) > certificates.MOST_PEM:
-        raise TrustError(f"{key}: {path}: over {certificates.MOST_PEM} bytes")
-    return raw
+        raise TlsFilesError(f"{key}: {path}: {error.strerror}") from None
+    if len(content) > certificates.MAX_PEM_BYTES:
+        raise TlsFilesError(f"{key}: {path}: over {certificates.MAX_PEM_BYTES} bytes")
+    return content
 
 
 def _check_mode(path: Path) -> None:
     try:
         mode = stat.S_IMODE(os.stat(path).st_mode)
     except OSError as error:
-        raise TrustError(f"key: {path}: {error.strerror}") from None
+        raise TlsFilesError(f"key: {path}: {error.strerror}") from None
     if mode & 0o077:
-        raise TrustError(f"key: {path}: others may read it (mode {mode:04o}); it must be 0600")
+        raise TlsFilesError(f"key: {path}: others may read it (mode {mode:04o}); it must be 0600")
 
 
-def _context(files: Files, ca: bytes | None, named: bool) -> ssl.SSLContext:
+def _make_context(files: TlsFiles, ca: bytes | None, checks_hostname: bool) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    context.minimum_version = VERSIONS[files.least]
-    # A renegotiation could ask for anything in mid-stream; a compressed stream tells of its content by its size.
+    context.minimum_version = VERSIONS[files.min_version]
+    # With renegotiation a host could make any demand in mid-stream, and the size of compressed records reveals their
+    # content.
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
-    context.check_hostname = named and not files.unverified
-    if files.unverified:
+    context.check_hostname = checks_hostname and not files.skip_verification
+    if files.skip_verification:
         context.verify_mode = ssl.CERT_NONE
     elif ca is not None:
         context.load_verify_locations(cadata=ca.decode("ascii", "replace"))
@@ -106,49 +113,52 @@
     return context
 
 
-def load(files: Files, before: Trust | None = None) -> Trust:
-    """All files, or TrustError and nothing. ``before`` itself where no byte has changed: its sessions stay good."""
+def load_trust_store(files: TlsFiles, previous: TrustStore | None = None) -> TrustStore:
+    """Load all files, or raise TlsFilesError.
+
+    Returns ``previous`` itself if no byte has changed, so that its TLS sessions remain usable.
+    """
     if files.key is not None:
         _check_mode(files.key)
-    raws = {
+    contents = {
         name: _read(name, path) for name in ("ca", "cert", "key", "crl") if (path := getattr(files, name)) is not None
     }
-    raw = (repr(files).encode(), *raws.values())
-    if before is not None and before.raw == raw:
-        return before
+    snapshot = (repr(files).encode(), *contents.values())
+    if previous is not None and previous.snapshot == snapshot:
+        return previous
     authorities: Sequence[x509.Certificate] = ()
-    own: Sequence[x509.Certificate] = ()
-    revoked = Revoked()
+    client_chain: Sequence[x509.Certificate] = ()
+    revoked = RevocationList()
     name = ""
     try:
-        if "ca" in raws:
+        if "ca" in contents:
             name = "ca"
-            authorities = certificates.read_all(raws["ca"])
-        if "cert" in raws:
+            authorities = certificates.parse_pem(contents["ca"])
+        if "cert" in contents:
             name = "cert"
-            own = certificates.read_all(raws["cert"])
-        if "key" in raws:
+            client_chain = certificates.parse_pem(contents["cert"])
+        if "key" in contents:
             name = "key"
-            certificates.check_pair(own[0], raws["key"])
-        if "crl" in raws:
+            certificates.check_key_matches(client_chain[0], contents["key"])
+        if "crl" in contents:
             name = "crl"
-            revoked = certificates.revoked(raws["crl"], authorities)
-    except UnreadableError as error:
-        raise TrustError(f"{name}: {getattr(files, name)}: {error}") from None
+            revoked = certificates.parse_revocation_lists(contents["crl"], authorities)
+    except CertificateParseError as error:
+        raise TlsFilesError(f"{name}: {getattr(files, name)}: {error}") from None
     try:
-        contexts = [_context(files, raws.get("ca"), named) for named in (True, False)]
+        contexts = [_make_context(files, contents.get("ca"), checks_hostname) for checks_hostname in (True, False)]
     except (ssl.SSLError, OSError) as error:
-        raise TrustError(f"cert: {files.cert or files.ca}: {error}") from None
-    # OpenSSL has read the pair from the files by itself: what it read must be what was checked.
-    if any(_read(n, getattr(files, n)) != raws[n] for n in ("cert", "key") if n in raws):
-        raise TrustError(f"cert: {files.cert}: changed while it was read")
-    return Trust(
-        next(_numbers),
+        raise TlsFilesError(f"cert: {files.cert or files.ca}: {error}") from None
+    # OpenSSL reads certificate and key from the files itself, so make sure that it read what was checked above.
+    if any(_read(n, getattr(files, n)) != contents[n] for n in ("cert", "key") if n in contents):
+        raise TlsFilesError(f"cert: {files.cert}: changed while it was read")
+    return TrustStore(
+        next(_store_numbers),
         contexts[0],
         contexts[1],
         revoked,
-        certificates.facts(own),
-        certificates.facts(authorities),
-        raw,
-        files.unverified,
+        certificates.certificate_infos(client_chain),
+        certificates.certificate_infos(authorities),
+        snapshot,
+        files.skip_verification,
     )
--- a/bramblestile/wire/common.py
+++ b/bramblestile/wire/common.py
@@ -1,4 +1,4 @@
-"""What both dialects' downstreams share: leaving seen, local replies, dialling for an upstream request."""
+"""What the downstreams of both protocols share: disconnect detection, local replies and dialling."""
 
 from __future__ import annotations
 
@@ -8,56 +8,62 @@
 
 from bramblestile import sockets
 from bramblestile.clock import now
-from bramblestile.dialect import Answer, Asked, CanSend, Dial, NotUp, Up
 from bramblestile.memory.cluster import UpstreamHost
-from bramblestile.sockets import LineReader, Side
+from bramblestile.protocol import ClientRequest, Dial, Established, NotEstablished, SendGuard, UpstreamAnswer
+from bramblestile.sockets import LineReader, Transport
 from vanegw.interface import Status
 
-MOST_PINGS = 16  # before a request: a front asks once, and who asks on and on wants nothing else
+MAX_PINGS = 16  # before a request: the platform's front sends one, and a client that sends more wants no connection
 
 
 class SocketDownstream(ABC):
-    """A downstream on a socket whose first words have been read."""
+    """A downstream on a socket whose request has been read."""
 
-    def __init__(self, sock: socket.socket, reader: LineReader, asked: Asked) -> None:
+    def __init__(self, sock: socket.socket, reader: LineReader, request: ClientRequest) -> None:
         self._sock = sock
-        self._reader = reader  # holds what the downstream sent beyond its first words
-        self._asked = asked
+        self._reader = reader  # may hold bytes that the downstream sent after its request
+        self._request = request
 
-    def has_left(self) -> bool:
-        return sockets.has_left(self._sock)
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed or reset its connection."""
+        return sockets.has_disconnected(self._sock)
 
     @abstractmethod
-    def refuse(self, come_back: timedelta) -> None: ...
+    def refuse(self, retry_after: timedelta) -> None:
+        """Send the local reply "refused" and close."""
 
     @abstractmethod
-    def fail(self) -> None: ...
+    def fail(self) -> None:
+        """Send the local reply "failed" and close."""
 
     @abstractmethod
-    def _ask(self, upstream: Side, until: timedelta, may_send: CanSend) -> Answer: ...
+    def _exchange(self, upstream: Transport, until: timedelta, send_guard: SendGuard) -> UpstreamAnswer:
+        """Send the request on an open connection and read the upstream host's answer."""
 
     def _reply(self, line: bytes) -> None:
-        sockets.last_word(self._sock, line)
+        sockets.reply_and_close(self._sock, line)
 
-    def upstream_request(self, dial: Dial, until: timedelta, connect_within: timedelta, may_send: CanSend) -> Answer:
-        """Dials and asks; the connection is closed unless the answer keeps it."""
+    def upstream_request(
+        self, dial: Dial, until: timedelta, connect_timeout: timedelta, send_guard: SendGuard
+    ) -> UpstreamAnswer:
+        """Dial and send the request. The connection is closed unless the upstream host accepts it."""
         try:
-            upstream = dial(min(connect_within, until - now()), until)
-        except sockets.NotDialledError as error:
-            return NotUp(Status.NOT_SENT if error.spared else Status.NO_ROUTE, detail=str(error))
+            upstream = dial(min(connect_timeout, until - now()), until)
+        except sockets.DialError as error:
+            return NotEstablished(Status.NOT_SENT if error.skipped else Status.NO_ROUTE, detail=str(error))
         except OSError:
-            return NotUp(Status.NO_ROUTE)
-        answer: Answer | None = None
+            return NotEstablished(Status.NO_ROUTE)
+        answer: UpstreamAnswer | None = None
         try:
-            answer = self._ask(upstream, until, may_send)
+            answer = self._exchange(upstream, until, send_guard)
             return answer
         finally:
-            if not isinstance(answer, Up):
+            if not isinstance(answer, Established):
                 sockets.close(upstream)
             elif isinstance(upstream, sockets.Channel):
                 upstream.setblocking(True)
 
 
-def plain(host: UpstreamHost, connect_within: timedelta, until: timedelta) -> Side:
-    """A connection without TLS: nothing is said before the first byte, so ``until`` bounds nothing more."""
-    return sockets.dial(host.address, connect_within)
+def dial_plain(host: UpstreamHost, connect_timeout: timedelta, until: timedelta) -> Transport:
+    """Connect to an upstream host without TLS. ``until`` is unused, as nothing precedes the first byte."""
+    return sockets.dial(host.address, connect_timeout)
--- a/bramblestile/wire/probes.py
+++ b/bramblestile/wire/probes.py
@@ -1,4 +1,4 @@
-"""One thread for each upstream host that asks for its load when told to; a silent host delays no other."""
+"""Probes of upstream hosts for their load: one thread for each host, so that a silent host delays no other."""
 
 from __future__ import annotations
 
@@ -12,43 +12,50 @@
 from bramblestile.memory.counters import Counters
 from vanegw.interface import ProbeResult, Report, Status
 
-IDLE = timedelta(seconds=30)  # a host that nobody asks about gives its thread and connection back
-Ask = Callable[[UpstreamHost, timedelta], tuple[Status, Report | None]]
+IDLE_TIMEOUT = timedelta(seconds=30)  # a host's thread and connection are closed after this time without a probe
+ProbeHost = Callable[[UpstreamHost, timedelta], tuple[Status, Report | None]]
 
 
-class Probes:
+class ProbeRunner:
+    """Runs the requested probes and passes the results to ``on_result``.
+
+    ``make_prober`` returns the functions that probe one host and that close its connection. ``answer_timeout`` limits
+    a probe.
+    """
+
     def __init__(
         self,
         cluster: Cluster,
-        make: Callable[[], tuple[Ask, Callable[[], None]]],
-        within: timedelta,
-        tell: Callable[[ProbeResult], None],
+        make_prober: Callable[[], tuple[ProbeHost, Callable[[], None]]],
+        answer_timeout: timedelta,
+        on_result: Callable[[ProbeResult], None],
         counters: Counters,
     ) -> None:
         self._cluster = cluster
-        self._make = make
-        self.within = within
-        self._tell = tell
+        self._make_prober = make_prober
+        self.answer_timeout = answer_timeout
+        self._on_result = on_result
         self._counters = counters
         self._lock = threading.Lock()
         self._queues: dict[str, SimpleQueue[None]] = {}
 
-    def ask(self, host: str, beside: bool = True) -> None:
-        """``beside``: also where one waits already."""
+    def request(self, host: str, even_if_queued: bool = True) -> None:
+        """Queue a probe of a host; with ``even_if_queued=False`` only if none is queued for it already."""
         with self._lock:
             queue = self._queues.get(host)
             if queue is None:
                 queue = self._queues[host] = SimpleQueue()
                 threading.Thread(target=self._run, args=(host, queue), name=host, daemon=True).start()
-            if beside or queue.empty():
+            if even_if_queued or queue.empty():
                 queue.put(None)
 
     def _run(self, name: str, queue: SimpleQueue[None]) -> None:
-        ask, close = self._make()
-        place = None
+        """Run the probes of one host, one after the other; end when none is requested for ``IDLE_TIMEOUT``."""
+        probe, close = self._make_prober()
+        probed_start = None
         while True:
             try:
-                queue.get(timeout=IDLE.total_seconds())
+                queue.get(timeout=IDLE_TIMEOUT.total_seconds())
             except Empty:
                 with self._lock:
                     if queue.empty():
@@ -59,11 +66,11 @@
             host = self._cluster.find(name)
             sent = now()
             if host is None:  # nothing is sent to a host that is no longer listed
-                self._tell(ProbeResult(name, Status.NOT_SENT, 0))
+                self._on_result(ProbeResult(name, Status.NOT_SENT, 0))
                 continue
-            if place not in (None, (host.address, host.born)):  # another start may be another host
+            if probed_start not in (None, (host.address, host.started_at)):  # after a restart it may be another host
                 close()
-            place = host.address, host.born
-            status, report = ask(host, self.within)
+            probed_start = host.address, host.started_at
+            status, report = probe(host, self.answer_timeout)
             self._counters.add(f"probes_{status.name.lower()}")
-            self._tell(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
+            self._on_result(ProbeResult(name, status, (now() - sent) // MICROSECOND, report))
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,4 +1,4 @@
-"""Authorities and certificates for the tests, made at run time; none is kept in the repository."""
+"""Certificate authorities and certificates for tests. They are issued at run time; the repository contains none."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
-from bramblestile.tls.making import Key, common, key_pem, pem
+from bramblestile.tls.dev_certificates import PrivateKey, certificate_pem, common_name, private_key_pem
 
 DAY = timedelta(days=1)
 
 
-def alternative(text: str) -> x509.GeneralName:
+def subject_alternative_name(text: str) -> x509.GeneralName:
+    """Return the text as a URI, an IP address or a DNS name, depending on its form. Nothing is validated."""
     if "://" in text:
         return x509.UniformResourceIdentifier(text)
     try:
@@ -29,114 +30,133 @@
 
 
 class Authority:
-    """A root, or with ``above`` an intermediate. ``files``: where what is issued lies."""
+    """A root authority, or an intermediate one if it has an issuer.
+
+    ``not_before`` and ``not_after`` are relative to now, here and in ``issue``. All files are written to ``folder``.
+    """
 
     def __init__(
         self,
         subject: str = "test authority",
-        above: Authority | None = None,
-        since: timedelta = -DAY,
-        until: timedelta = 30 * DAY,
+        issuer: Authority | None = None,
+        not_before: timedelta = -DAY,
+        not_after: timedelta = 30 * DAY,
     ) -> None:
-        self.above = above
+        self.issuer = issuer
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.cert: x509.Certificate
         now = datetime.now(UTC)
-        signer = above.key if above else self.key
+        signer = issuer.key if issuer else self.key
         self.cert = (
-            self._builder(subject, above.cert.subject if above else common(subject), now + since, now + until, self.key)
+            self._builder(
+                subject,
+                issuer.cert.subject if issuer else common_name(subject),
+                now + not_before,
+                now + not_after,
+                self.key,
+            )
             .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
             .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
             .sign(signer, hashes.SHA256())
         )
         self.folder = Path(tempfile.mkdtemp(prefix="authority-"))
-        self.file = self.write("ca.pem", pem(self.cert))
+        self.ca_file = self.write("ca.pem", certificate_pem(self.cert))
 
     def _builder(
-        self, subject: str, issuer: x509.Name, since: datetime, until: datetime, key: Key
+        self, subject: str, issuer: x509.Name, not_before: datetime, not_after: datetime, key: PrivateKey
     ) -> x509.CertificateBuilder:
         return (
             x509.CertificateBuilder()
-            .subject_name(common(subject))
+            .subject_name(common_name(subject))
             .issuer_name(issuer)
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(since)
-            .not_valid_after(until)
+            .not_valid_before(not_before)
+            .not_valid_after(not_after)
         )
 
-    def write(self, file: str, raw: bytes) -> Path:
-        path = self.folder / file
-        path.write_bytes(raw)
+    def write(self, name: str, content: bytes) -> Path:
+        """Write a file that only its owner can read, and return its path."""
+        path = self.folder / name
+        path.write_bytes(content)
         path.chmod(0o600)
         return path
 
     def issue(
         self,
         *names: str,
-        since: timedelta = -DAY,
-        until: timedelta = 7 * DAY,
+        not_before: timedelta = -DAY,
+        not_after: timedelta = 7 * DAY,
         with_chain: bool = True,
-        server: bool = True,
-        key: Key | None = None,
-    ) -> Issued:
-        """A certificate for these names; the first is its subject too."""
+        for_server: bool = True,
+        key: PrivateKey | None = None,
+    ) -> IssuedCertificate:
+        """Issue a certificate for these names; the first one is also its subject."""
         key = key or ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
-        use = ExtendedKeyUsageOID.SERVER_AUTH if server else ExtendedKeyUsageOID.CLIENT_AUTH
+        usage = ExtendedKeyUsageOID.SERVER_AUTH if for_server else ExtendedKeyUsageOID.CLIENT_AUTH
         cert = (
-            self._builder(names[0], self.cert.subject, now + since, now + until, key)
-            .add_extension(x509.SubjectAlternativeName([alternative(n) for n in names]), critical=False)
-            .add_extension(x509.ExtendedKeyUsage([use]), critical=False)
+            self._builder(names[0], self.cert.subject, now + not_before, now + not_after, key)
+            .add_extension(x509.SubjectAlternativeName([subject_alternative_name(n) for n in names]), critical=False)
+            .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
             .sign(self.key, hashes.SHA256())
         )
-        chain = [cert] + ([self.cert] if with_chain and self.above else [])
-        return Issued(self, cert, key, chain)
+        chain = [cert] + ([self.cert] if with_chain and self.issuer else [])
+        return IssuedCertificate(self, cert, key, chain)
 
-    def revoke(self, *issued: Issued) -> Path:
-        """A list of these as revoked."""
+    def revoke(self, *issued: IssuedCertificate) -> Path:
+        """Write a revocation list with these certificates, and return its path."""
         now = datetime.now(UTC)
-        made = (
+        builder = (
             x509.CertificateRevocationListBuilder()
             .issuer_name(self.cert.subject)
             .last_update(now - DAY)
             .next_update(now + DAY)
         )
-        for one in issued:
-            made = made.add_revoked_certificate(
+        for certificate in issued:
+            builder = builder.add_revoked_certificate(
                 x509.RevokedCertificateBuilder()
-                .serial_number(one.cert.serial_number)
+                .serial_number(certificate.cert.serial_number)
                 .revocation_date(now - DAY)
                 .build()
             )
-        return self.write("revoked.pem", made.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
+        return self.write(
+            "revoked.pem", builder.sign(self.key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        )
+
 
+class IssuedCertificate:
+    """A certificate with its key and its chain, in memory and as files."""
 
-class Issued:
-    def __init__(self, by: Authority, cert: x509.Certificate, key: Key, chain: list[x509.Certificate]) -> None:
+    def __init__(
+        self, issuer: Authority, cert: x509.Certificate, key: PrivateKey, chain: list[x509.Certificate]
+    ) -> None:
         self.cert, self.key, self.chain = cert, key, chain
         serial = f"{cert.serial_number:x}"[:12]
-        self.cert_file = by.write(f"{serial}.pem", b"".join(map(pem, chain)))
-        self.key_file = by.write(f"{serial}.key", key_pem(key))
-
-    def server(self, clients: Authority | None = None, most: ssl.TLSVersion | None = None) -> ssl.SSLContext:
-        """A host's side; ``clients``: only those that this authority has signed."""
-        made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        made.load_cert_chain(self.cert_file, self.key_file)
-        if clients is not None:
-            made.verify_mode = ssl.CERT_REQUIRED
-            made.load_verify_locations(clients.file)
-        if most is not None:
-            made.maximum_version = most
-        return made
+        self.cert_file = issuer.write(f"{serial}.pem", b"".join(map(certificate_pem, chain)))
+        self.key_file = issuer.write(f"{serial}.key", private_key_pem(key))
+
+    def server_context(
+        self, client_authority: Authority | None = None, max_version: ssl.TLSVersion | None = None
+    ) -> ssl.SSLContext:
+        """Return a host's TLS context. With a client authority it requires client certificates signed by that one."""
+        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+        context.load_cert_chain(self.cert_file, self.key_file)
+        if client_authority is not None:
+            context.verify_mode = ssl.CERT_REQUIRED
+            context.load_verify_locations(client_authority.ca_file)
+        if max_version is not None:
+            context.maximum_version = max_version
+        return context
 
 
 @cache
-def shared() -> Authority:
-    """One for all scenarios that only need TLS to be there."""
+def shared_authority() -> Authority:
+    """Return the authority of all tests that need TLS but no authority of their own."""
     return Authority()
 
 
 @cache
-def server_of(host: str) -> ssl.SSLContext:
-    return shared().issue(host).server()
+def server_context(host: str) -> ssl.SSLContext:
+    """Return the TLS context of a host with a certificate of the shared authority."""
+    return shared_authority().issue(host).server_context()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Agent-check and HTTP health: what is said of the balancer, and what upstream hosts say of themselves."""
+"""Agent checks and HTTP health checks, of the balancer and of upstream hosts, and how their results persist."""
 
 from __future__ import annotations
 
@@ -11,67 +11,67 @@
 from bramblestile.memory.cluster import Cluster, UpstreamHost
 from bramblestile.process import config
 from bramblestile.process.daemon import Daemon
-from bramblestile.wire.agent import Opinion, parse_agent
-from tests.scenario import Peer, Stage
+from bramblestile.wire.agent import CheckResult, parse_agent_line
+from tests.scenario import Peer, Scenario
 from tests.test_process import SETTINGS
 from vanegw.interface import ListMode, State
 
-SAYS = "a0 accept\na0 send {}\na0 close\n"
-HTTP = "a0 accept\na0 expect GET /healthz HTTP/1.1\na0 send HTTP/1.1 {}\na0 close\n"
-STANDS = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
+ANSWER = "a0 accept\na0 send {}\na0 close\n"
+HTTP_ANSWER = "a0 accept\na0 expect GET /healthz HTTP/1.1\na0 send HTTP/1.1 {}\na0 close\n"
+ESTABLISHED = "c1 ask\nb0 taken\nb0 up\nc1 served\n"
 
 
 @pytest.mark.parametrize(
-    ("line", "opinion"),
+    ("line", "result"),
     [
-        ("up ready 75%", Opinion(True, 0.75)),
-        ("drain", Opinion(False)),
-        ("0%", Opinion(False)),
-        ("ready,down", Opinion(False)),
-        ("down ready", Opinion(False)),
-        ("maxconn:30 150%", Opinion(None, 1.0)),
-        ("up # drain", Opinion(True)),
-        ("", Opinion()),
-        ("\u00b2% what", Opinion()),
+        ("up ready 75%", CheckResult(True, 0.75)),
+        ("drain", CheckResult(False)),
+        ("0%", CheckResult(False)),
+        ("ready,down", CheckResult(False)),
+        ("down ready", CheckResult(False)),
+        ("maxconn:30 150%", CheckResult(None, 1.0)),
+        ("up # drain", CheckResult(True)),
+        ("", CheckResult()),
+        ("\u00b2% what", CheckResult()),
     ],
 )
-def test_the_words_of_an_agent(line: str, opinion: Opinion) -> None:
-    assert parse_agent(line) == opinion
+def test_agent_line_is_parsed(line: str, result: CheckResult) -> None:
+    assert parse_agent_line(line) == result
 
 
 @pytest.mark.parametrize("wire", ["lines", "nats"])
 @pytest.mark.parametrize(
     ("check", "script"),
     [
-        # A host that says drain loses its clients and gets nothing new; after up it is used again.
+        # A host whose agent answers drain loses its clients and gets no new ones; after up it is used again.
         (
             "agent",
-            STANDS
-            + SAYS.format("drain")
+            ESTABLISHED
+            + ANSWER.format("drain")
             + "c1 moved\nc2 ask\nc2 refused\nb0 idle\n"
-            + SAYS.format("up 50%")
+            + ANSWER.format("up 50%")
             + "wait checks_changed_a_host 2\nc3 ask\nb0 accept\nb0 taken\nb0 up\nc3 served",
         ),
-        # Three failed checks in a row are a host that is down; two sound ones bring it back.
+        # After three consecutive failed checks a host is down; after two successful ones it is up again.
         ("agent", "a0 stop\nwait checks_failed 3\nwait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle"),
         (
             "http",
-            HTTP.format("503 Unwell")
+            HTTP_ANSWER.format("503 Unwell")
             + "wait checks_changed_a_host 1\nc1 ask\nc1 refused\nb0 idle\n"
-            + HTTP.format("200 OK")
+            + HTTP_ANSWER.format("200 OK")
             + "wait checks_changed_a_host 2\nc2 ask\nb0 taken\nb0 up\nc2 served",
         ),
-        ("http", SAYS.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
+        ("http", ANSWER.format("SSH-2.0-x") * 3 + "wait checks_changed_a_host 1\nc1 ask\nc1 refused"),
     ],
 )
-def test_what_a_host_says_counts(wire: str, check: str, script: str) -> None:
-    Stage(wire, check=check).play(script)
+def test_check_results_take_effect(wire: str, check: str, script: str) -> None:
+    Scenario(wire, check=check).run(script)
 
 
-def test_what_is_said_of_the_balancer() -> None:
+def test_health_of_the_balancer() -> None:
     listed = [{"host": n, "dial": "127.0.0.1:1", "health": "in_service"} for n in ("a", "b")]
     daemon = Daemon(
-        config.read(
+        config.parse_config(
             {
                 "listen": "127.0.0.1:0",
                 "settings": SETTINGS,
@@ -82,43 +82,48 @@
     )
     daemon.start()
 
-    def said(name: str, request: str = "") -> str:
-        peer = Peer(socket.create_connection(daemon.told_at[name].address))
+    def answer(name: str, request: str = "") -> str:
+        peer = Peer(socket.create_connection(daemon.auxiliary_listeners[name].address))
         peer.sock.sendall(request.encode())
         line = peer.line()
-        while peer.more():
+        while peer.receive():
             pass
         return line
 
     def http(path: str, verb: str = "GET") -> str:
-        return said("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
+        return answer("health", f"{verb} {path} HTTP/1.1\r\nHost: x\r\n\r\n").partition(" ")[2]
 
-    assert said("agent_check") == "up ready 100%"
-    daemon.fronts[0].decisions.opine("a", takes_work=False)
-    assert (said("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
+    assert answer("agent_check") == "up ready 100%"
+    daemon.fronts[0].decisions.apply_check("a", takes_work=False)
+    assert (answer("agent_check"), http("/live"), http("/live", "HEAD")) == ("up ready 50%", "200 OK", "200 OK")
     assert (http("/other"), http("/live", "POST")) == ("404 Not Found", "405 Method Not Allowed")
-    assert said("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
-    daemon.fronts[0].decisions.opine("b", takes_work=False)
-    assert (said("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
-    daemon.leaving = True
-    assert (said("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
+    assert answer("health", "nonsense\r\n\r\n").endswith("400 Bad Request")
+    daemon.fronts[0].decisions.apply_check("b", takes_work=False)
+    assert (answer("agent_check"), http("/live")) == ("down", "503 Service Unavailable")
+    daemon.is_shutting_down = True
+    assert (answer("agent_check"), http("/live")) == ("drain", "503 Service Unavailable")
 
 
 @pytest.mark.parametrize(
-    ("say", "kept"),
+    ("apply", "expected"),
     [
-        (lambda cluster: cluster.drains("a"), State.RUNNING),
-        (lambda cluster: cluster.opine("a", False), State.DRAINING),
-        (lambda cluster: cluster.close("a", True), State.CLOSED),
+        (lambda cluster: cluster.mark_draining("a"), State.RUNNING),
+        (lambda cluster: cluster.apply_check("a", False), State.DRAINING),
+        (lambda cluster: cluster.set_closed("a", True), State.CLOSED),
     ],
 )
-def test_a_host_in_service_again_keeps_what_others_said_of_it(say: Callable[[Cluster], object], kept: State) -> None:
-    # A check says once that a host is down, and a certificate is refused once: were these dropped with the host's own
-    # word when discovery lists it again, the down or the unproven host would get new work.
+def test_host_listed_as_in_service_again_keeps_the_state_of_other_sources(
+    apply: Callable[[Cluster], object], expected: State
+) -> None:
+    """Only the host's own announcement that it drains may end when discovery lists it as in service again.
+
+    A failed check and a refused certificate are reported once. If they ended too, a host that is down or unverified
+    would get new connections.
+    """
     host = UpstreamHost("a", ("127.0.0.1", 1))
     cluster = Cluster()
-    cluster.apply(ListMode.COMPLETE, [host])
-    assert say(cluster) is not None
-    cluster.apply(ListMode.CHANGES, [replace(host, state=State.DRAINING)])
-    (seen,) = cluster.apply(ListMode.CHANGES, [host])
-    assert seen.state is kept
+    cluster.update(ListMode.COMPLETE, [host])
+    assert apply(cluster) is not None
+    cluster.update(ListMode.CHANGES, [replace(host, state=State.DRAINING)])
+    (effective,) = cluster.update(ListMode.CHANGES, [host])
+    assert effective.state is expected
